--- a/hawthornlead/engines/orders.py
+++ b/hawthornlead/engines/orders.py
@@ -15,7 +15,7 @@
 from ..decisions.views import target_resource
 from ..errors import ErrorKind, Failure
 from ..events import EventKind
-from ..ownership.lease_enders import longest_by_any_clock
+from ..ownership.lease_terminators import clock_safe_wait_s
 from ..ownership.owners import OrderRight
 from .evict_guards import EvictGuard
 from .grant_ledgers import AdapterVersion
@@ -63,7 +63,7 @@
     @property
     def longest_s(self) -> float:
         """How long an order may be under way from its last check to its effect."""
-        return longest_by_any_clock(
+        return clock_safe_wait_s(
             self._settings["ORDER_S"], self._settings["CLOCK_RATE_ERROR"]
         )
 
--- a/hawthornlead/ownership/lease_enders.py
+++ b/hawthornlead/ownership/lease_terminators.py
@@ -29,7 +29,7 @@
 LAST_RANK = 4
 
 
-def longest_by_any_clock(seconds: float, rate_error: float) -> float:
+def clock_safe_wait_s(seconds: float, rate_error: float) -> float:
     """Return how long to wait so that ``seconds`` have passed on another's clock.
 
     The other's clock may be slow by the rate error and one's own fast by it.
@@ -37,7 +37,7 @@
     return seconds * (1 + rate_error) / (1 - rate_error)
 
 
-class LeaseEnder:
+class LeaseTerminator:
     """Ends leases: at once on proof, else when they have run out by any clock.
 
     ``holder`` is the ``LeaseKeeper`` of this VM.
@@ -211,7 +211,7 @@
         known = self._counters.seen(seen.registration.incarnation)
         since = known.since if known is not None else seen.since
         error = self._settings["CLOCK_RATE_ERROR"]
-        wait = longest_by_any_clock(self._settings["LEASE_S"], error)
+        wait = clock_safe_wait_s(self._settings["LEASE_S"], error)
         return since + wait - self._timers.now()
 
     async def _tidy(self, now: float) -> None:
--- a/hawthornlead/ownership/leases.py
+++ b/hawthornlead/ownership/leases.py
@@ -18,8 +18,6 @@
 from ..hashes import rendezvous
 from ..messages import LeaseRenewed, RenewLease
 from ..stores.stores import StoredObject
-from .aggregators import RenewalFolder, outcome_of
-from .lease_enders import LeaseEnder, longest_by_any_clock
 from .lease_objects import (
     ENDED,
     KIND,
@@ -31,10 +29,12 @@
     with_ended,
     with_registered,
 )
+from .lease_terminators import LeaseTerminator, clock_safe_wait_s
 from .registrations import RegistrationTable, Seen
+from .renewal_batchers import RenewalBatcher, outcome_of
 from .renewal_objects import CounterTable, counters_of, renewal_kind, with_entered
 
-__all__ = ["LeaseKeeper", "Registration", "longest_by_any_clock"]
+__all__ = ["LeaseKeeper", "Registration", "clock_safe_wait_s"]
 
 
 class LeaseKeeper:
@@ -81,14 +81,14 @@
         self._kind = renewal_kind(self._data_centre)
         self._table = RegistrationTable(timers)
         self._counters = CounterTable(timers)
-        self._folder = RenewalFolder(
+        self._folder = RenewalBatcher(
             store=store,
             timers=timers,
             kind=self._kind,
             counters=self._counters,
             gather_s=self._renew_s / 2,
         )
-        self._ender = LeaseEnder(
+        self._ender = LeaseTerminator(
             settings=settings,
             timers=timers,
             events=events,
@@ -240,7 +240,7 @@
         # An order that was checked before a freeze and sent after it may still be
         # running; when it can't be any more, the former incarnation is proved
         # stopped by this process's own word.
-        wait = longest_by_any_clock(
+        wait = clock_safe_wait_s(
             self._settings["ORDER_S"], self._settings["CLOCK_RATE_ERROR"]
         )
 
--- a/hawthornlead/ownership/owners.py
+++ b/hawthornlead/ownership/owners.py
@@ -17,7 +17,7 @@
 from ..events import EventKind
 from ..stores.stores import StoredObject
 from .former_owners import FormerOwners
-from .leases import longest_by_any_clock
+from .leases import clock_safe_wait_s
 from .owner_records import (
     KIND,
     OwnerRecord,
@@ -335,7 +335,7 @@
         # OWN-6: an order that was checked in the last moment of a lease runs for
         # ORDER_S by its sender's clock, which may be slower than this one. Without
         # the rate error it would take effect after the first grant given here.
-        wait = longest_by_any_clock(
+        wait = clock_safe_wait_s(
             self._settings["ORDER_S"], self._settings["CLOCK_RATE_ERROR"]
         )
         self._owned[resource] = OwnedState(
--- a/hawthornlead/ownership/aggregators.py
+++ b/hawthornlead/ownership/renewal_batchers.py
@@ -15,7 +15,7 @@
 from .renewal_objects import CounterTable, counters_of, with_renewed
 
 
-class RenewalFolder:
+class RenewalBatcher:
     """Folds the renewals of a data centre's VMs into one write per object."""
 
     def __init__(self, *, store, timers, kind: str, counters: CounterTable, gather_s):
--- a/hawthornlead/tests/test_leases.py
+++ b/hawthornlead/tests/test_leases.py
@@ -4,7 +4,7 @@
 
 from hawthornlead.errors import ErrorKind
 from hawthornlead.messages import RenewLease
-from hawthornlead.ownership.leases import longest_by_any_clock
+from hawthornlead.ownership.leases import clock_safe_wait_s
 from hawthornlead.ownership.renewal_objects import with_entered, with_removed
 from hawthornlead.stores.stores import WatchEvent
 
@@ -119,7 +119,7 @@
     incarnation = frozen.leases.incarnation
     early = await other.leases.end("vm-1", incarnation, None)
     assert early.err_value.kind is ErrorKind.NOT_READY
-    assert 0 < early.err_value.retry_after_s <= longest_by_any_clock(6.0, 0.2)
+    assert 0 < early.err_value.retry_after_s <= clock_safe_wait_s(6.0, 0.2)
     world.freeze(frozen)
     ended = False
     for _ in range(150):
