--- a/examples/embed_lease.py
+++ b/examples/embed_lease.py
@@ -88,7 +88,7 @@
         """Begin to hold a lease, and take part in owning the job."""
         self.leases.start()
         self.owners.start()
-        self.owners.want(RESOURCE, DATA_CENTRE)
+        self.owners.request(RESOURCE, DATA_CENTRE)
 
     async def stop(self) -> None:
         """Stop as a process that is killed does: nothing is given back."""
@@ -98,7 +98,7 @@
 
     async def work(self) -> bool:
         """Do the job if this worker may; the check stands right before the act."""
-        if self.owners.right(RESOURCE, longest_s=0.1) is not OrderRight.FULL:
+        if self.owners.right(RESOURCE, duration_s=0.1) is not OrderRight.FULL:
             return False
         fence = self.owners.owned(RESOURCE).fence
         print(f"{self.name} prints the report under fence {fence}")
@@ -127,7 +127,7 @@
     handed_on = await work_once(second)
     assert not await first.work()
 
-    first.owners.want(RESOURCE, DATA_CENTRE)
+    first.owners.request(RESOURCE, DATA_CENTRE)
     await second.stop()
     taken_over = await work_once(first)
     await first.owners.release_all()
--- a/hawthornlead/engines/target_owners.py
+++ b/hawthornlead/engines/target_owners.py
@@ -95,7 +95,7 @@
         self._mesh.on(TargetSuspect, self._on_suspect)
         self._owners.on_taken(self._on_taken)
         self._owners.on_lost(self._on_lost)
-        self._owners.tell_open_orders(self._has_open_order)
+        self._owners.set_open_order_check(self._has_open_order)
         self._vm_list.subscribe(self._on_vm_list)
         self._on_vm_list()
         self._timer = self._timers.every(TELL_S, self._tell_all, name="target states")
@@ -122,9 +122,9 @@
                 self._targets[entry.name].leaving = entry.state == "leaving"
         for resource, data_centre in wanted.items():
             if resource not in self._wanted:
-                self._owners.want(resource, data_centre)
+                self._owners.request(resource, data_centre)
         for resource in self._wanted - wanted.keys():
-            self._owners.forget(resource)
+            self._owners.withdraw(resource)
         self._wanted = set(wanted)
 
     def _on_taken(self, ownership) -> None:
--- a/hawthornlead/ownership/owners.py
+++ b/hawthornlead/ownership/owners.py
@@ -92,11 +92,11 @@
         if self._task is not None:
             self._task.cancel()
 
-    def want(self, resource: str, data_centre: str) -> None:
+    def request(self, resource: str, data_centre: str) -> None:
         """Take part in owning a resource that stands in a data centre."""
         self._wanted[resource] = data_centre
 
-    def forget(self, resource: str) -> None:
+    def withdraw(self, resource: str) -> None:
         """Own a resource no more: its target is gone. Given back if owned."""
         self._wanted.pop(resource, None)
 
@@ -125,12 +125,12 @@
             return None
         return record
 
-    def right(self, resource: str, longest_s: float = 0.0) -> OrderRight:
-        """Tell what this VM may do with a resource for ``longest_s`` from now.
+    def right(self, resource: str, duration_s: float = 0.0) -> OrderRight:
+        """Tell what this VM may do with a resource for ``duration_s`` from now.
 
         Called right before each order: what was true before a wait may not be. An
         order asks with 0: it may outlast the lease, since a successor waits out
-        ``ORDER_S`` after it. Only what no successor waits for needs ``longest_s``.
+        ``ORDER_S`` after it. Only what no successor waits for needs ``duration_s``.
         """
         owned = self._owned.get(resource)
         if owned is None or self._leases.state == "ended":
@@ -139,7 +139,7 @@
             return OrderRight.NONE
         if self._timers.now() < owned.full_at:
             return OrderRight.NONE
-        if not self._leases.held(longest_s):
+        if not self._leases.held(duration_s):
             return OrderRight.DEGRADED
         return OrderRight.FULL
 
@@ -151,7 +151,7 @@
         """Call ``callback`` with each resource that this VM owns no longer."""
         self._on_lost.append(callback)
 
-    def tell_open_orders(self, has_open_order: Callable[[str], bool]) -> None:
+    def set_open_order_check(self, has_open_order: Callable[[str], bool]) -> None:
         """Ask ``has_open_order`` at each release whether an order may be under way.
 
         After a release with an open order the successor waits as after a death.
@@ -161,8 +161,8 @@
     async def release(self, resource: str) -> Result[None, Failure]:
         """Give a resource back, so that a successor takes it without waiting.
 
-        If an order is under way (see ``tell_open_orders``), the successor waits it
-        out. It is not taken again before ``want``.
+        If an order is under way (see ``set_open_order_check``), the successor waits it
+        out. It is not taken again before ``request``.
         """
         return await self._release((resource,))
 
--- a/hawthornlead/tests/fakes_vms.py
+++ b/hawthornlead/tests/fakes_vms.py
@@ -182,15 +182,15 @@
         vm = FakeVm(self, name, data_centre, rate, self._settings)
         self.vms[name] = vm
         for resource in self.resources:
-            vm.owners.want(resource, "dc1")
+            vm.owners.request(resource, "dc1")
         return vm
 
-    def want(self, *resources):
+    def request(self, *resources):
         """Have all VMs want resources in data centre dc1."""
         self.resources += resources
         for vm in self.vms.values():
             for resource in resources:
-                vm.owners.want(resource, "dc1")
+                vm.owners.request(resource, "dc1")
 
     async def deliver(self, sender, name, message):
         """Carry a call to a VM and wait for its answer."""
--- a/hawthornlead/tests/fakes_worlds.py
+++ b/hawthornlead/tests/fakes_worlds.py
@@ -75,17 +75,17 @@
         self.taken = []
         self.lost = []
 
-    def want(self, resource, data_centre):
+    def request(self, resource, data_centre):
         """Take nothing by itself."""
 
-    def forget(self, resource):
+    def withdraw(self, resource):
         """Give nothing back by itself."""
 
     def on_taken(self, callback):
         """Call back with ownerships."""
         self.taken.append(callback)
 
-    def tell_open_orders(self, has_open_order):
+    def set_open_order_check(self, has_open_order):
         """Give nothing back by itself."""
 
     def on_lost(self, callback):
@@ -100,7 +100,7 @@
         """This VM's ownership."""
         return self.ownerships.get(resource)
 
-    def right(self, resource, longest_s=0.0):
+    def right(self, resource, duration_s=0.0):
         """This VM's right."""
         if resource not in self.ownerships:
             return OrderRight.NONE
--- a/hawthornlead/tests/test_owner_machine.py
+++ b/hawthornlead/tests/test_owner_machine.py
@@ -51,7 +51,7 @@
         for number, name in enumerate(VMS):
             rate = 1 + (RATE_ERROR if number % 2 else -RATE_ERROR)
             self._world.add(name, "dc1" if number < 3 else "dc2", rate)
-        self._world.want(*RESOURCES)
+        self._world.request(*RESOURCES)
         await self._world.run(3)
 
     @rule(seconds=SECONDS)
@@ -116,7 +116,7 @@
         if not vm.alive or vm.frozen or vm.owners.owned(resource) is None:
             return
         self._loop.run_until_complete(vm.owners.release(resource))
-        vm.owners.want(resource, "dc1")
+        vm.owners.request(resource, "dc1")
 
     @invariant()
     def one_full_right(self):
--- a/hawthornlead/tests/test_owners.py
+++ b/hawthornlead/tests/test_owners.py
@@ -23,7 +23,7 @@
 @pytest.fixture
 async def world():
     made = World(LEASE_S=6.0, LEASE_RENEW_S=1.5, ORDER_S=4.0, WATCH_SILENT_S=4.0)
-    made.want(ENGINE)
+    made.request(ENGINE)
     yield made
     await made.stop()
 
@@ -42,12 +42,12 @@
     for vm in (first, second):
         record = vm.owners.owner_of(ENGINE)
         assert (record.vm, record.fence) == (owner.name, 1)
-    assert owner.owners.right(ENGINE, longest_s=6.0) is OrderRight.DEGRADED
+    assert owner.owners.right(ENGINE, duration_s=6.0) is OrderRight.DEGRADED
 
 
 async def test_spread_evenly_without_needless_moves(world):
     engines = [f"target:engine-{number}" for number in range(2, 13)]
-    world.want(*engines)
+    world.request(*engines)
     vms = [world.add(f"vm-{number}") for number in range(6)]
     await world.run(10)
     assert [len(vm.owners.owned_resources()) for vm in vms] == [2] * 6
@@ -180,7 +180,7 @@
         world.add(f"vm-{number}")
     await world.run(5)
     owner = world.owner_of(ENGINE)
-    owner.owners.tell_open_orders(lambda resource: open_order)
+    owner.owners.set_open_order_check(lambda resource: open_order)
     assert (await owner.owners.release_all()).is_ok()
     await world.run(2)
     owned = world.owner_of(ENGINE).owners.owned(ENGINE)
@@ -192,7 +192,7 @@
     # With LEASE_S below ORDER_S no lease is ever held for a whole order. The owner
     # has the right all the same: its successor waits out the lease, then the order.
     world = World(LEASE_S=3.0, LEASE_RENEW_S=1.0, ORDER_S=8.0, WATCH_SILENT_S=4.0)
-    world.want(ENGINE)
+    world.request(ENGINE)
     for number in range(2):
         world.add(f"vm-{number}")
     await world.run(5)
@@ -303,7 +303,7 @@
     releaser.store._put = put
     assert records(world)[0].free
     releaser.owners._take(before)
-    releaser.owners.want(ENGINE, "dc1")
+    releaser.owners.request(ENGINE, "dc1")
     assert releaser.owners.right(ENGINE) is OrderRight.NONE
     await world.run(2)
     assert world.owner_of(ENGINE) is other
@@ -334,7 +334,7 @@
     await world.run(5)
     other = world.add("vm-2")
     await world.run(3)
-    other.owners.forget(ENGINE)
+    other.owners.withdraw(ENGINE)
     ended = await other.leases.end("vm-1", owner.leases.incarnation, "refused")
     assert ended.is_ok()
     while owner.leases.state != "ended":
@@ -353,7 +353,7 @@
 async def test_forget_gives_back(world):
     vm = world.add("vm-1")
     await world.run(5)
-    vm.owners.forget(ENGINE)
+    vm.owners.withdraw(ENGINE)
     await world.run(1)
     assert vm.owners.right(ENGINE) is OrderRight.NONE
     assert records(world)[0].free and records(world)[0].fence == 1
@@ -363,11 +363,11 @@
     # A VM's view of the registrations lags behind its view of the records: the
     # owner looks unregistered, though it has just registered and taken.
     late, owner = world.add("vm-1"), world.add("vm-2")
-    late.owners.forget(ENGINE)
+    late.owners.withdraw(ENGINE)
     await world.run(5)
     assert world.owner_of(ENGINE) is owner
     del late.leases._table._seen[owner.leases.incarnation]
-    late.owners.want(ENGINE, "dc1")
+    late.owners.request(ENGINE, "dc1")
     former = FormerOwners(leases=late.leases, members=late.members)
     ended = await former.ended_among(records(world))
     assert ended.ok_value == set()
