--- a/hawthornlead/engines/suspect_places.py
+++ b/hawthornlead/engines/suspect_places.py
@@ -22,7 +22,7 @@
 from ..errors import ErrorKind, Failure
 from ..mesh.casts import send
 from ..mesh.meshes import failed
-from ..messages import Done, GiveSuspectPlace, TakeSuspectPlace
+from ..messages import Done, ReleaseSuspectSlot, ReserveSuspectSlot
 from ..timers import TimerService
 
 RETRY_AFTER_S = 0.2
@@ -43,8 +43,8 @@
         self._mesh = mesh
         self._held: dict[str, _Place] = {}
         self._taken: dict[str, str] = {}
-        mesh.on(TakeSuspectPlace, self._on_take)
-        mesh.on(GiveSuspectPlace, self._on_give)
+        mesh.on(ReserveSuspectSlot, self._on_take)
+        mesh.on(ReleaseSuspectSlot, self._on_give)
 
     async def take(
         self, view: TargetView, request_id: str, hold_s: float
@@ -56,7 +56,7 @@
         """
         if not view.owner_vm:
             return Err(_taken(view.target, "has no owner"))
-        asked = TakeSuspectPlace(view.target, request_id, hold_s)
+        asked = ReserveSuspectSlot(view.target, request_id, hold_s)
         reply = await self._mesh.call(view.owner_vm, asked)
         if isinstance(reply, Ok):
             self._taken[request_id] = view.owner_vm
@@ -66,9 +66,9 @@
         """Give a place back, if one was taken; lost, it runs out by itself."""
         owner_vm = self._taken.pop(request_id, None)
         if owner_vm is not None:
-            send(self._mesh, owner_vm, GiveSuspectPlace(view.target, request_id))
+            send(self._mesh, owner_vm, ReleaseSuspectSlot(view.target, request_id))
 
-    async def _on_take(self, sender, message: TakeSuspectPlace):
+    async def _on_take(self, sender, message: ReserveSuspectSlot):
         now = self._timers.now()
         place = self._held.get(message.target)
         held = place is not None and place.ends_at > now
@@ -77,7 +77,7 @@
         self._held[message.target] = _Place(message.request_id, now + message.hold_s)
         return Done()
 
-    async def _on_give(self, sender, message: GiveSuspectPlace):
+    async def _on_give(self, sender, message: ReleaseSuspectSlot):
         place = self._held.get(message.target)
         if place is not None and place.request_id == message.request_id:
             del self._held[message.target]
--- a/hawthornlead/fleet/fleet_meshes.py
+++ b/hawthornlead/fleet/fleet_meshes.py
@@ -24,7 +24,7 @@
 from ..mesh.meshes import Handler, PeerInfo
 from ..mesh.sparse_peers import SparsePeerMesh
 from ..messages import Heartbeat
-from ..messages.fleets import MemberState, PassedOn
+from ..messages.fleets import ForwardedMessage, MemberState
 from ..tasks import TaskSet
 from ..timers import Subscription, TimerService
 from .attachments import NOTHING_TOLD, Attachments
@@ -84,7 +84,7 @@
         )
         self.on_fed: Callable[[str], None] = lambda vm: None
         self.on_feed_changed: Callable[[str], None] = lambda head: None
-        transport.on(PassedOn, self._on_passed)
+        transport.on(ForwardedMessage, self._on_passed)
         transport.beat_only(self._beaten)
 
     @property
@@ -246,14 +246,14 @@
         myself = self._transport.myself
         origin = (myself.vm, myself.incarnation, myself.data_centre, myself.address)
         if self.is_head:
-            self.cast_to(self.other_heads, PassedOn(*origin, ACROSS, frame))
-            self.cast_to(self.attachments.fed, PassedOn(*origin, DOWN, frame))
+            self.cast_to(self.other_heads, ForwardedMessage(*origin, ACROSS, frame))
+            self.cast_to(self.attachments.fed, ForwardedMessage(*origin, DOWN, frame))
         elif self.feed:
-            self.cast_to((self.feed,), PassedOn(*origin, UP, frame))
+            self.cast_to((self.feed,), ForwardedMessage(*origin, UP, frame))
 
     # Messages on their way
 
-    async def _on_passed(self, sender: PeerInfo, passed: PassedOn) -> None:
+    async def _on_passed(self, sender: PeerInfo, passed: ForwardedMessage) -> None:
         """Pass a message on, and have it handled here as if its sender had sent it."""
         if passed.leg == UP:
             across = passed._replace(leg=ACROSS)
--- a/hawthornlead/gateway/load_words.py
+++ b/hawthornlead/gateway/load_words.py
@@ -14,14 +14,14 @@
 from ..fleet.attachments import NOTHING_TOLD, Attachment
 from ..fleet.fleet_meshes import FleetMesh
 from ..messages.fleets import (
-    FleetWord,
-    GroupWord,
+    FleetUpdate,
+    GroupUpdate,
     MemberLoads,
     MemberState,
-    MemberWord,
+    MemberUpdate,
     TargetRunning,
 )
-from ..messages.gateways import GatheredLoads, TargetLoad, VmLoads, VmWord
+from ..messages.gateways import ForwardedLoads, GatheredLoads, TargetLoad, VmLoads
 from ..tasks import TaskSet
 from ..timers import TimerService
 from .memberships import Memberships
@@ -75,9 +75,9 @@
         self._tasks = TaskSet()
         mesh.on(VmLoads, self._take_word)
         mesh.on(GatheredLoads, self._take_gathered)
-        mesh.on(MemberWord, self._take_member)
-        mesh.on(GroupWord, self._take_group)
-        mesh.on(FleetWord, self._take_fleet)
+        mesh.on(MemberUpdate, self._take_member)
+        mesh.on(GroupUpdate, self._take_group)
+        mesh.on(FleetUpdate, self._take_fleet)
 
     @property
     def told_within_s(self) -> float:
@@ -131,9 +131,9 @@
         for head in self._mesh.links.near:
             if head == feed:
                 uses = self._quotas.told_uses()
-                message = MemberWord(state, True, serial, owned, word.loads, uses)
+                message = MemberUpdate(state, True, serial, owned, word.loads, uses)
             else:
-                message = MemberWord(state, False, NOTHING_TOLD, (), ())
+                message = MemberUpdate(state, False, NOTHING_TOLD, (), ())
             self._mesh.cast_to((head,), message)
 
     # What a head does
@@ -168,7 +168,7 @@
         self._surge_told = self._quotas.surging()
         near, self._near_words = self._near_words, {}
         words, self._words = self._words, {}
-        self._mesh.cast_to(self._mesh.other_heads, GroupWord(tuple(near.values())))
+        self._mesh.cast_to(self._mesh.other_heads, GroupUpdate(tuple(near.values())))
         attached = self._mesh.attachments.all
         if not attached:
             return
@@ -193,11 +193,11 @@
             attachment.serial = serial
         states, share = self._quotas.states(), self._memberships.heard_share
         quotas = (states, share) if states else ()
-        changes = FleetWord(since, serial, table.since(since), running, *quotas)
+        changes = FleetUpdate(since, serial, table.since(since), running, *quotas)
         self._mesh.cast_to(up_to_date, changes)
         if behind:
             living = table.living()
-            whole = FleetWord(NOTHING_TOLD, serial, living, running, *quotas)
+            whole = FleetUpdate(NOTHING_TOLD, serial, living, running, *quotas)
             self._mesh.cast_to(behind, whole)
 
     def _tell_uses(
@@ -211,12 +211,12 @@
             if loads:
                 using.add(other)
             if loads or other in attachment.told_of:
-                told.append(VmWord(other, loads))
+                told.append(ForwardedLoads(other, loads))
         attachment.told_of = (attachment.told_of - set(words)) | using
         if told:
             self._mesh.cast_to((vm,), GatheredLoads(tuple(told)))
 
-    async def _take_member(self, sender, message: MemberWord) -> None:
+    async def _take_member(self, sender, message: MemberUpdate) -> None:
         """Take the word of a VM that has chosen this one for a head."""
         vm = sender.vm
         attachments = self._mesh.attachments
@@ -236,7 +236,7 @@
         """Whether the others don't know yet that a workspace is over its limit."""
         return not self._surge_told and self._quotas.surging()
 
-    async def _take_group(self, sender, message: GroupWord) -> None:
+    async def _take_group(self, sender, message: GroupUpdate) -> None:
         """Take another head's words on the VMs that it feeds."""
         self._mesh.attachments.note_head(sender.vm)
         if not self._mesh.is_head:
@@ -267,7 +267,7 @@
 
     # What the others take
 
-    async def _take_fleet(self, sender, message: FleetWord) -> None:
+    async def _take_fleet(self, sender, message: FleetUpdate) -> None:
         """Take a head's word on members and targets."""
         if sender.vm != self._mesh.feed:
             return
--- a/hawthornlead/gateway/watch_relays.py
+++ b/hawthornlead/gateway/watch_relays.py
@@ -23,7 +23,7 @@
     RelayedChanges,
     RelayedKind,
     RelayedRecord,
-    RelayWord,
+    RelayHeartbeat,
 )
 from ..tasks import TaskSet
 from ..timers import TimerService
@@ -103,7 +103,7 @@
         self._asked = 0
         self._relaying = False
         self._role = RelayRole(memberships=memberships, mesh=mesh, timers=timers)
-        mesh.on(RelayWord, self._on_word)
+        mesh.on(RelayHeartbeat, self._on_word)
         mesh.on(RelayedChanges, self._on_changes)
         mesh.on(FetchRecords, self._on_fetch)
 
@@ -226,7 +226,7 @@
         for kind, chain in self._chains.items():
             if kind in self._told_kinds:
                 kinds.append(RelayedKind(kind, chain.since, chain.until))
-        self._mesh.broadcast(RelayWord(tuple(kinds)))
+        self._mesh.broadcast(RelayHeartbeat(tuple(kinds)))
 
     def _vouched_kinds(self) -> set[str]:
         """Return the kinds of which this VM's own calls show all changes now."""
@@ -236,7 +236,7 @@
 
     # What relays tell
 
-    async def _on_word(self, sender, message: RelayWord) -> None:
+    async def _on_word(self, sender, message: RelayHeartbeat) -> None:
         self._role.note_word(sender.vm, bool(message.kinds))
         vouched_for = {told.kind for told in message.kinds}
         for kind in set(self._heard) - vouched_for:
--- a/hawthornlead/messages/crashes.py
+++ b/hawthornlead/messages/crashes.py
@@ -15,7 +15,7 @@
 
 
 @message("take-suspect-place")
-class TakeSuspectPlace(NamedTuple):
+class ReserveSuspectSlot(NamedTuple):
     """Ask a target's owner for its only place for a suspect request."""
 
     target: str
@@ -24,7 +24,7 @@
 
 
 @message("give-suspect-place")
-class GiveSuspectPlace(NamedTuple):
+class ReleaseSuspectSlot(NamedTuple):
     """Give the place back: the suspect's attempt has ended."""
 
     target: str
--- a/hawthornlead/messages/fleets.py
+++ b/hawthornlead/messages/fleets.py
@@ -18,7 +18,7 @@
 
 
 @message("member-word")
-class MemberWord(NamedTuple):
+class MemberUpdate(NamedTuple):
     """What a VM tells its heads of itself.
 
     ``fed`` asks the receiver to tell it of the fleet; ``serial`` is that of the last
@@ -43,7 +43,7 @@
 
 
 @message("group-word")
-class GroupWord(NamedTuple):
+class GroupUpdate(NamedTuple):
     """What a head tells the other heads of the VMs that it feeds, and of itself."""
 
     members: tuple[MemberLoads, ...]
@@ -58,7 +58,7 @@
 
 
 @message("fleet-word")
-class FleetWord(NamedTuple):
+class FleetUpdate(NamedTuple):
     """What a head tells those that it feeds: changes of members, and all targets' load.
 
     The changes are those after ``since``, up to ``serial``. With ``since`` below 0
@@ -75,7 +75,7 @@
 
 
 @message("passed-on")
-class PassedOn(NamedTuple):
+class ForwardedMessage(NamedTuple):
     """A message that one VM tells all others, on its way through heads.
 
     The first four fields tell who sent it; ``frame`` is the message as it was encoded
--- a/hawthornlead/messages/gateways.py
+++ b/hawthornlead/messages/gateways.py
@@ -42,7 +42,7 @@
     quotas: tuple[QuotaUse, ...] = ()
 
 
-class VmWord(NamedTuple):
+class ForwardedLoads(NamedTuple):
     """The requests that one VM has on targets, as it told a relay."""
 
     vm: str
@@ -53,7 +53,7 @@
 class GatheredLoads(NamedTuple):
     """The newest words of several VMs; each stands alone, as in ``VmLoads``."""
 
-    words: tuple[VmWord, ...]
+    words: tuple[ForwardedLoads, ...]
 
 
 class HeldAdapter(NamedTuple):
@@ -309,7 +309,7 @@
 
 
 @message("relayed-until")
-class RelayWord(NamedTuple):
+class RelayHeartbeat(NamedTuple):
     """The kinds whose watches a relay vouches for: what it saw, it has passed on."""
 
     kinds: tuple[RelayedKind, ...]
--- a/hawthornlead/tests/test_load_words.py
+++ b/hawthornlead/tests/test_load_words.py
@@ -133,5 +133,5 @@
         vm.words.tell()
     await let_run()
     assert running(fleet) == {1}
-    assert {vm.heard["GroupWord"] for vm in fleet.vms.values()} == {0}
+    assert {vm.heard["GroupUpdate"] for vm in fleet.vms.values()} == {0}
     fleet.stop()
--- a/hawthornlead/tests/test_relay_roles.py
+++ b/hawthornlead/tests/test_relay_roles.py
@@ -6,7 +6,7 @@
     RelayedChanges,
     RelayedKind,
     RelayedRecord,
-    RelayWord,
+    RelayHeartbeat,
 )
 from hawthornlead.timers import ManualTimerService
 
@@ -96,14 +96,16 @@
         vm.stop()
     a.watchers["config"]._known.take_all(7, ())
     c.watchers["config"]._known.take_all(7, ())
-    await a.relays._on_word(b.mesh.myself, RelayWord((RelayedKind("config", 7, 8),)))
+    await a.relays._on_word(
+        b.mesh.myself, RelayHeartbeat((RelayedKind("config", 7, 8),))
+    )
     record = RelayedRecord("x", 9, '[{"n": 1}, null]')
     changes = RelayedChanges("config", 7, 9, (record,))
     await a.relays._on_changes(b.mesh.myself, changes)
     assert a.relays.vouched("config")
-    await a.relays._on_word(b.mesh.myself, RelayWord(()))
+    await a.relays._on_word(b.mesh.myself, RelayHeartbeat(()))
     assert not a.relays.vouched("config")
-    word = RelayWord((RelayedKind("config", 9, 9),))
+    word = RelayHeartbeat((RelayedKind("config", 9, 9),))
     await a.relays._on_word(c.mesh.myself, word)
     assert a.relays.vouched("config")
     # One that missed what the first relay told last must ask.
@@ -119,9 +121,13 @@
     for vm in (a, b, c):
         vm.stop()
     a.watchers["config"]._known.take_all(7, ())
-    await a.relays._on_word(b.mesh.myself, RelayWord((RelayedKind("config", 7, 7),)))
-    await a.relays._on_word(c.mesh.myself, RelayWord((RelayedKind("config", 3, 8),)))
-    await a.relays._on_word(b.mesh.myself, RelayWord(()))
+    await a.relays._on_word(
+        b.mesh.myself, RelayHeartbeat((RelayedKind("config", 7, 7),))
+    )
+    await a.relays._on_word(
+        c.mesh.myself, RelayHeartbeat((RelayedKind("config", 3, 8),))
+    )
+    await a.relays._on_word(b.mesh.myself, RelayHeartbeat(()))
     assert a.relays.vouched("config")
     await site.stop()
 
--- a/hawthornlead/tests/test_watchers.py
+++ b/hawthornlead/tests/test_watchers.py
@@ -19,7 +19,7 @@
     RelayedChanges,
     RelayedKind,
     RelayedRecord,
-    RelayWord,
+    RelayHeartbeat,
 )
 from hawthornlead.timers import TimerService
 
@@ -188,15 +188,15 @@
     a = Follower(network, timers, store, "a")
     b = Follower(network, timers, store, "b")
     sender = b.mesh.myself
-    await a.relays._on_word(sender, RelayWord((RelayedKind("things", 4, 6),)))
+    await a.relays._on_word(sender, RelayHeartbeat((RelayedKind("things", 4, 6),)))
     assert not a.relays.vouched("things")
     a.watcher._known.take_all(5, ())
     assert a.relays.vouched("things")
     record = RelayedRecord("t", 7, '[{"n": 7}, null]')
     await a.relays._on_changes(sender, RelayedChanges("things", 4, 7, (record,)))
-    await a.relays._on_word(sender, RelayWord((RelayedKind("things", 7, 8),)))
+    await a.relays._on_word(sender, RelayHeartbeat((RelayedKind("things", 7, 8),)))
     assert a.relays.vouched("things")
-    await a.relays._on_word(sender, RelayWord((RelayedKind("things", 9, 9),)))
+    await a.relays._on_word(sender, RelayHeartbeat((RelayedKind("things", 9, 9),)))
     assert not a.relays.vouched("things")
     # What is told beyond a gap is taken, and closes no gap.
     later = RelayedRecord("t", 11, '[{"n": 11}, null]')
@@ -312,11 +312,11 @@
     b = Follower(network, timers, store, "b")
     sender = b.mesh.myself
     a.watcher._known.take_all(4, ())
-    await a.relays._on_word(sender, RelayWord((RelayedKind("things", 4, 4),)))
+    await a.relays._on_word(sender, RelayHeartbeat((RelayedKind("things", 4, 4),)))
     assert a.relays.vouched("things")
-    await a.relays._on_word(sender, RelayWord(()))
+    await a.relays._on_word(sender, RelayHeartbeat(()))
     assert not a.relays.vouched("things")
-    await a.relays._on_word(sender, RelayWord((RelayedKind("things", 4, 4),)))
+    await a.relays._on_word(sender, RelayHeartbeat((RelayedKind("things", 4, 4),)))
     assert a.relays.vouched("things")
     a.stop()
     b.stop()
