--- a/hawthornlead/gateway/target_connections.py
+++ b/hawthornlead/gateway/target_connections.py
@@ -18,7 +18,7 @@
 
 from ..connection_pools import ConnectionPool
 from ..errors import Failure
-from ..platform.headers import AnswerSigns, read_answer_signs
+from ..platform.headers import AnswerMetadata, read_answer_metadata
 from ..timers import TimerService
 
 # A target answers a new connection in a few milliseconds; a packet that is lost is
@@ -43,7 +43,7 @@
     status: int
     reason: str
     headers: httputil.HTTPHeaders
-    signs: AnswerSigns
+    signs: AnswerMetadata
     framed: bool
 
 
@@ -91,7 +91,7 @@
     def headers_received(self, start_line, headers):
         if 100 <= start_line.code < 200:
             return
-        signs = read_answer_signs(start_line.code, headers)
+        signs = read_answer_metadata(start_line.code, headers)
         if signs.request_id != self._request_id and (
             signs.request_id or start_line.code < 300
         ):
--- a/hawthornlead/platform/headers.py
+++ b/hawthornlead/platform/headers.py
@@ -62,7 +62,7 @@
 MOST_DIGITS = 9
 
 
-class AnswerSigns(NamedTuple):
+class AnswerMetadata(NamedTuple):
     """What the headers of a target's answer say beside its content.
 
     ``idle_s`` is how long the target keeps the connection open, None if unsaid;
@@ -162,9 +162,9 @@
     return headers
 
 
-def read_answer_signs(status: int, headers: HTTPHeaders) -> AnswerSigns:
+def read_answer_metadata(status: int, headers: HTTPHeaders) -> AnswerMetadata:
     """Return what a target says of its answer and of the connection."""
-    return AnswerSigns(
+    return AnswerMetadata(
         request_id=headers.get(REQUEST_ID, ""),
         sealed=SEAL in headers,
         not_run=NOT_RUN in headers or status == 421,
--- a/hawthornlead/tests/test_platform_wire.py
+++ b/hawthornlead/tests/test_platform_wire.py
@@ -22,7 +22,7 @@
 from hawthornlead.platform.entries import addresses_body
 from hawthornlead.platform.headers import (
     answer_headers,
-    read_answer_signs,
+    read_answer_metadata,
     read_caller_request,
     request_headers,
 )
@@ -178,11 +178,11 @@
 
 def test_signs_of_an_answer():
     headers = HTTPHeaders({"Keep-Alive": "max=5, timeout=8", "Server-Seal": "s"})
-    signs = read_answer_signs(200, headers)
+    signs = read_answer_metadata(200, headers)
     assert (signs.sealed, signs.not_run, signs.idle_s) == (True, False, 8.0)
-    assert read_answer_signs(421, HTTPHeaders()).not_run
-    assert read_answer_signs(503, HTTPHeaders({"Not-Executed": "1"})).not_run
-    assert not read_answer_signs(503, HTTPHeaders()).not_run
+    assert read_answer_metadata(421, HTTPHeaders()).not_run
+    assert read_answer_metadata(503, HTTPHeaders({"Not-Executed": "1"})).not_run
+    assert not read_answer_metadata(503, HTTPHeaders()).not_run
     kept = answer_headers(HTTPHeaders({"Keep-Alive": "timeout=8", "X": "1"}))
     assert list(kept) == ["X"]
 
@@ -193,15 +193,15 @@
 )
 def test_the_limit_of_a_target_is_a_number_of_requests(text, limit):
     headers = HTTPHeaders({"Server-Limit": text})
-    assert read_answer_signs(200, headers).limit_per_s == limit
-    assert read_answer_signs(200, HTTPHeaders()).limit_per_s is None
+    assert read_answer_metadata(200, headers).limit_per_s == limit
+    assert read_answer_metadata(200, HTTPHeaders()).limit_per_s is None
 
 
 @pytest.mark.parametrize(("text", "leaving"), [("1", True), ("0", False), ("", False)])
 def test_a_target_that_leaves_says_so(text, leaving):
     headers = HTTPHeaders({"Server-Leaving": text})
-    assert read_answer_signs(200, headers).leaving is leaving
-    assert not read_answer_signs(200, HTTPHeaders()).leaving
+    assert read_answer_metadata(200, headers).leaving is leaving
+    assert not read_answer_metadata(200, HTTPHeaders()).leaving
 
 
 @pytest.mark.parametrize(
@@ -211,8 +211,8 @@
 )
 def test_a_target_that_turns_a_request_away_may_ask_for_rest(status, text, rest_s):
     headers = HTTPHeaders({"Retry-After": text})
-    assert read_answer_signs(status, headers).rest_s == rest_s
-    assert read_answer_signs(status, HTTPHeaders()).rest_s == 0
+    assert read_answer_metadata(status, headers).rest_s == rest_s
+    assert read_answer_metadata(status, HTTPHeaders()).rest_s == 0
 
 
 def test_versions_and_addresses():
