--- a/hawthornlead/ownership/members.py
+++ b/hawthornlead/ownership/members.py
@@ -89,7 +89,9 @@
     def start(self) -> None:
         """Begin to look for proof that lost VMs are gone."""
         interval = self._settings["HEARTBEAT_S"]
-        self._subscription = self._timers.every(interval, self.look, name="members")
+        self._subscription = self._timers.every(
+            interval, self.check_lost_vms, name="members"
+        )
 
     async def stop(self) -> None:
         """Look no more."""
@@ -112,7 +114,7 @@
             names.add(self._mesh.vm)
         return tuple(sorted(names))
 
-    def silent(self, vm: str, longer_than_s: float) -> bool:
+    def is_silent(self, vm: str, longer_than_s: float) -> bool:
         """Whether nothing was heard of a VM for longer than this many seconds."""
         if vm == self._mesh.vm:
             return False
@@ -162,7 +164,7 @@
         keep_s = self._settings["ENTRY_KEEP_S"] * self._rng.uniform(LEAST_KEPT, 1.0)
         return EntryAnswer(tuple(entry.address for entry in chosen), keep_s)
 
-    async def look(self) -> None:
+    async def check_lost_vms(self) -> None:
         """Look once for what proves that lost VMs are gone."""
         listed = {entry.name for entry in self._vm_list.entries}
         connected = {(info.vm, info.incarnation) for info in self._mesh.live}
--- a/hawthornlead/ownership/platforms.py
+++ b/hawthornlead/ownership/platforms.py
@@ -84,7 +84,7 @@
         """All entry VMs."""
         return self._with_role("entry")
 
-    def take(self, entries: tuple[VmEntry, ...], sent_at: float) -> None:
+    def apply(self, entries: tuple[VmEntry, ...], sent_at: float) -> None:
         """Take a list that was asked for at ``sent_at``, unless a newer is held."""
         if sent_at < self._read_at:
             return
@@ -112,7 +112,7 @@
         try:
             response = await self._client.fetch(request, raise_error=False)
             if response.code == NOT_MODIFIED and self._tag:
-                self.take(self._entries, sent_at)
+                self.apply(self._entries, sent_at)
                 return Ok(None)
             response.rethrow()
             entries = tuple(_entry(vm) for vm in json.loads(response.body)["vms"])
@@ -121,7 +121,7 @@
             return Err(Failure(ErrorKind.STORE_UNAVAILABLE, f"VM list: {error}", 1.0))
         if sent_at >= self._read_at:
             self._tag = response.headers.get("Etag", "")
-        self.take(entries, sent_at)
+        self.apply(entries, sent_at)
         return Ok(None)
 
     def _with_role(self, role: str) -> tuple[VmEntry, ...]:
--- a/hawthornlead/tests/measure_parts.py
+++ b/hawthornlead/tests/measure_parts.py
@@ -186,7 +186,7 @@
 
     def read():
         entries = tuple(_entry(vm) for vm in json.loads(body)["vms"])
-        vm_list.take(entries, time.monotonic())
+        vm_list.apply(entries, time.monotonic())
 
     return read
 
--- a/hawthornlead/tests/test_members.py
+++ b/hawthornlead/tests/test_members.py
@@ -51,7 +51,7 @@
         """Let time pass, with a look and a read of the VM list each second."""
         for _ in range(seconds):
             self.read()
-            await self.members.look()
+            await self.members.check_lost_vms()
             await self.timers.advance(1.0)
 
     def read(self):
@@ -59,7 +59,7 @@
             VmEntry(vm, "entry", f"{vm}:80", PLACES[vm], state, {})
             for vm, state in self.listed.items()
         )
-        self.vm_list.take(entries, self.timers.now())
+        self.vm_list.apply(entries, self.timers.now())
 
     def answers(self, data_centre, count=1):
         return [self.members.entry_answer(data_centre) for _ in range(count)]
@@ -80,8 +80,10 @@
     assert fleet.members.live_vms() == ("a", "c", "d")
     fleet.network.silence("a", "c")
     await fleet.run(4)
-    assert fleet.members.silent("b", 3.0) and fleet.members.silent("c", 3.0)
-    assert not fleet.members.silent("d", 3.0) and not fleet.members.silent("a", 0.0)
+    assert fleet.members.is_silent("b", 3.0) and fleet.members.is_silent("c", 3.0)
+    assert not fleet.members.is_silent("d", 3.0) and not fleet.members.is_silent(
+        "a", 0.0
+    )
 
 
 async def test_a_freeze_or_a_cut_proves_nothing(fleet):
@@ -155,7 +157,7 @@
     del fleet.listed["b"]
     fleet.read()
     await fleet.timers.advance(60.0)
-    await fleet.members.look()
+    await fleet.members.check_lost_vms()
     assert fleet.members.proof_gone("b", "b-1") is None
     fleet.network.heal("a", "b")
     await fleet.run(20)
--- a/hawthornlead/tests/test_platforms.py
+++ b/hawthornlead/tests/test_platforms.py
@@ -54,7 +54,7 @@
     assert (await vm_list.read()).is_err()
     assert vm_list.entries and vm_list.age_s == 0
     # An answer that was asked for earlier than the one held changes nothing.
-    vm_list.take((), timers.now() - 1)
+    vm_list.apply((), timers.now() - 1)
     assert vm_list.entries
     await vm_list.stop()
 
