--- a/hawthornlead/gateway/gateway_parts.py
+++ b/hawthornlead/gateway/gateway_parts.py
@@ -23,7 +23,7 @@
 from .engine_rooms import EngineRoom
 from .gateway_metrics import GatewayMetrics
 from .known_targets import KnownTargets
-from .leaving_words import LeavingWords
+from .leaving_notices import LeavingNotices
 from .memberships import Memberships
 from .ownerships import Ownerships
 from .placers import Placer
@@ -87,7 +87,7 @@
         losses: TargetLosses,
         limits: TargetLimits,
         rests: TargetRests,
-        leaving_words: LeavingWords,
+        leaving_notices: LeavingNotices,
         run_times: RunTimes,
         quotas: QuotaLedger,
     ):
@@ -107,7 +107,7 @@
         self.losses = losses
         self.limits = limits
         self.rests = rests
-        self.leaving_words = leaving_words
+        self.leaving_notices = leaving_notices
         self.run_times = run_times
         self.quotas = quotas
         self.configuration: Configuration | None = None
@@ -315,7 +315,7 @@
         losses=losses,
         limits=limits,
         rests=rests,
-        leaving_words=LeavingWords(targets=known.targets, mesh=mesh),
+        leaving_notices=LeavingNotices(targets=known.targets, mesh=mesh),
         run_times=run_times,
         quotas=coordination.quotas,
     )
--- a/hawthornlead/gateway/leaving_words.py
+++ b/hawthornlead/gateway/leaving_notices.py
@@ -9,7 +9,7 @@
 from .records import Incarnation
 
 
-class LeavingWords:
+class LeavingNotices:
     """Takes the word of a target, or of another VM, that a target leaves.
 
     ::
--- a/hawthornlead/gateway/target_attempts.py
+++ b/hawthornlead/gateway/target_attempts.py
@@ -288,7 +288,7 @@
         if head.signs.rest_s:
             self._parts.rests.note(entry.target, head.signs.rest_s)
         if head.signs.leaving:
-            self._parts.leaving_words.note(entry.incarnation)
+            self._parts.leaving_notices.note(entry.incarnation)
         limit_per_s = head.signs.limit_per_s
         self._parts.limits.note_answer(entry.incarnation, limit_per_s, sent_at)
 
