--- a/hawthornlead/gateway/engine_releases.py
+++ b/hawthornlead/gateway/engine_releases.py
@@ -12,9 +12,9 @@
 from ..messages.gateways import TargetReleased
 from ..timers import TimerService
 from .engine_owners import EngineOwner
-from .known_targets import KnownTargets
 from .memberships import Memberships
 from .ownerships import Ownerships
+from .target_tables import TargetTable
 
 # Between looks whether the store is back.
 STORE_LOOK_S = 0.2
@@ -33,7 +33,7 @@
         *,
         memberships: Memberships,
         ownerships: Ownerships,
-        targets: KnownTargets,
+        targets: TargetTable,
         mesh: FleetMesh,
         timers: TimerService,
     ):
--- a/hawthornlead/gateway/engine_rooms.py
+++ b/hawthornlead/gateway/engine_rooms.py
@@ -26,7 +26,6 @@
 from .engine_slots import AdapterKey
 from .gateway_metrics import GatewayMetrics
 from .holding_words import HoldingWords
-from .known_targets import KnownTargets
 from .late_orders import LATE_ORDER_S, LateOrders
 from .load_words import LoadWords
 from .memberships import Memberships
@@ -40,6 +39,7 @@
 )
 from .slot_queues import SlotWanted
 from .target_loads import TargetLoads
+from .target_tables import TargetTable
 
 CLAIM_EVERY_S = 0.25
 # A count of uses is forgotten after some half-lives of 10 s.
@@ -60,7 +60,7 @@
         *,
         memberships: Memberships,
         ownerships: Ownerships,
-        targets: KnownTargets,
+        targets: TargetTable,
         loads: TargetLoads,
         calls: EngineCalls,
         mesh: FleetMesh,
--- a/hawthornlead/gateway/fleet_views.py
+++ b/hawthornlead/gateway/fleet_views.py
@@ -13,10 +13,10 @@
 from ..fleet.fleet_meshes import FleetMesh
 from ..messages import Heartbeat
 from ..timers import TimerService
-from .known_targets import KnownTargets
 from .memberships import Memberships
 from .relay_roles import RELAYS
 from .store_clients import StoreClient
+from .target_tables import TargetTable
 from .vm_leases import VmLease
 from .watch_relays import WatchRelays
 
@@ -89,7 +89,7 @@
         *,
         memberships: Memberships,
         mesh: FleetMesh,
-        targets: KnownTargets,
+        targets: TargetTable,
         relays: WatchRelays,
         client: StoreClient,
         lease: VmLease,
--- a/hawthornlead/gateway/gateway_parts.py
+++ b/hawthornlead/gateway/gateway_parts.py
@@ -22,7 +22,6 @@
 from .engine_calls import EngineCalls
 from .engine_rooms import EngineRoom
 from .gateway_metrics import GatewayMetrics
-from .known_targets import KnownTargets
 from .leaving_notices import LeavingNotices
 from .memberships import Memberships
 from .ownerships import Ownerships
@@ -38,6 +37,7 @@
 from .target_losses import TargetLosses
 from .target_probes import TargetProbes
 from .target_rests import TargetRests
+from .target_tables import TargetTable
 from .vm_leases import VmLease
 from .watch_relays import WatchRelays
 from .workspaces import WorkspaceTable
@@ -62,7 +62,7 @@
 class TargetParts(NamedTuple):
     """What this VM knows of targets, its connections, and the engines it orders."""
 
-    targets: KnownTargets
+    targets: TargetTable
     connections: TargetConnections
     loads: TargetLoads
     healths: TargetHealths
@@ -77,7 +77,7 @@
         *,
         core: CoreParts,
         metrics: GatewayMetrics,
-        targets: KnownTargets,
+        targets: TargetTable,
         placer: Placer,
         connections: TargetConnections,
         loads: TargetLoads,
@@ -213,7 +213,7 @@
 ) -> TargetParts:
     """Build what knows targets and orders those that this VM owns."""
     timers, memberships = core.timers, coordination.memberships
-    targets = KnownTargets(memberships=memberships, timers=timers, events=core.events)
+    targets = TargetTable(memberships=memberships, timers=timers, events=core.events)
     connections = TargetConnections(timers=timers)
     loads = TargetLoads(timers=timers, incarnation=targets.incarnation)
     room = EngineRoom(
--- a/hawthornlead/gateway/gateways.py
+++ b/hawthornlead/gateway/gateways.py
@@ -36,10 +36,10 @@
 from .forwards import Forward
 from .gateway_metrics import GatewayMetrics
 from .gateway_parts import build_coordination, build_requests, build_targets
-from .known_targets import essence_of_entry
 from .memberships import VMS_KIND
 from .records import StoredRecord
 from .target_loads import TargetLoads
+from .target_tables import essence_of_entry
 from .watchers import KindWatcher
 
 # What a VM that leaves needs to give its engines back: the end of an order and a call
--- a/hawthornlead/gateway/leaving_notices.py
+++ b/hawthornlead/gateway/leaving_notices.py
@@ -5,8 +5,8 @@
 
 from ..fleet.fleet_meshes import FleetMesh
 from ..messages.gateways import TargetLeaves
-from .known_targets import KnownTargets
 from .records import Incarnation
+from .target_tables import TargetTable
 
 
 class LeavingNotices:
@@ -17,7 +17,7 @@
         words.note(entry.incarnation)
     """
 
-    def __init__(self, *, targets: KnownTargets, mesh: FleetMesh):
+    def __init__(self, *, targets: TargetTable, mesh: FleetMesh):
         self._targets = targets
         self._mesh = mesh
         mesh.on(TargetLeaves, self._take)
--- a/hawthornlead/gateway/placers.py
+++ b/hawthornlead/gateway/placers.py
@@ -17,7 +17,6 @@
 from ..timers import TimerService
 from .engine_slots import AdapterKey
 from .gateway_metrics import GatewayMetrics
-from .known_targets import KnownTargets
 from .records import (
     CallerRequest,
     Configuration,
@@ -33,6 +32,7 @@
 from .target_loads import TargetLoads
 from .target_rests import TargetRests
 from .target_surveys import TargetSurvey, reading_share
+from .target_tables import TargetTable
 from .target_tries import MAX_LOAD_TRIES, TargetTries
 
 # A load takes 0.25 to 0.3 s and more while many run. One that is not there after this
@@ -96,7 +96,7 @@
         self,
         *,
         data_centre: str,
-        targets: KnownTargets,
+        targets: TargetTable,
         loads: TargetLoads,
         healths: TargetHealths,
         limits: TargetLimits,
--- a/hawthornlead/gateway/target_losses.py
+++ b/hawthornlead/gateway/target_losses.py
@@ -18,7 +18,6 @@
 from ..tasks import TaskSet
 from ..timers import TimerService
 from .gateway_metrics import GatewayMetrics
-from .known_targets import KnownTargets
 from .loss_beliefs import (
     LONG_UNANSWERED,
     PROBE_AFTER_S,
@@ -30,6 +29,7 @@
 from .target_connections import TargetConnections
 from .target_healths import TargetHealths
 from .target_probes import LAG_S, Found, TargetProbes
+from .target_tables import TargetTable
 
 # A target that showed that it is there is asked again after this, if silent yet.
 ALIVE_FOR_S = 1.5
@@ -47,7 +47,7 @@
     def __init__(
         self,
         *,
-        targets: KnownTargets,
+        targets: TargetTable,
         probes: TargetProbes,
         connections: TargetConnections,
         healths: TargetHealths,
--- a/hawthornlead/gateway/target_surveys.py
+++ b/hawthornlead/gateway/target_surveys.py
@@ -11,7 +11,6 @@
 from ..timers import TimerService
 from .adapter_homes import AdapterHomes
 from .engine_slots import AdapterKey
-from .known_targets import KnownTargets
 from .prompt_paces import EVENT_MS, read_ms
 from .records import CallerRequest, Route, ServiceSpec, TargetEntry
 from .run_times import RunTimes
@@ -28,6 +27,7 @@
 from .target_limits import TargetLimits
 from .target_loads import TargetLoads
 from .target_rests import TargetRests
+from .target_tables import TargetTable
 
 # For so long what an owner said of its full slots is believed. Slots come free every
 # 0.1 s to 0.2 s at a busy engine.
@@ -48,7 +48,7 @@
         self,
         *,
         data_centre: str,
-        targets: KnownTargets,
+        targets: TargetTable,
         loads: TargetLoads,
         healths: TargetHealths,
         limits: TargetLimits,
--- a/hawthornlead/gateway/known_targets.py
+++ b/hawthornlead/gateway/target_tables.py
@@ -38,7 +38,7 @@
     return entry._replace(models=models, leaves_in_s=entry.leaves_in_s is not None)
 
 
-class KnownTargets:
+class TargetTable:
     """Entries of targets, versions of adapters, and what owners tell.
 
     ::
--- a/hawthornlead/tests/following_vms.py
+++ b/hawthornlead/tests/following_vms.py
@@ -17,10 +17,10 @@
 from hawthornlead.clocks import HybridClock
 from hawthornlead.events import EventKind, EventRing
 from hawthornlead.gateway.gateway_metrics import GatewayMetrics
-from hawthornlead.gateway.known_targets import KnownTargets, essence_of_entry
 from hawthornlead.gateway.memberships import VMS_KIND, Memberships
 from hawthornlead.gateway.records import VmRecord
 from hawthornlead.gateway.store_clients import StoreClient
+from hawthornlead.gateway.target_tables import TargetTable, essence_of_entry
 from hawthornlead.gateway.watch_relays import WatchRelays
 from hawthornlead.gateway.watchers import KindWatcher
 from hawthornlead.messages import Heartbeat
@@ -74,7 +74,7 @@
             client=self.client,
             events=self.events,
         )
-        self.targets = KnownTargets(
+        self.targets = TargetTable(
             memberships=self.memberships, timers=timers, events=self.events
         )
         self.version = 0
--- a/hawthornlead/tests/test_incarnations.py
+++ b/hawthornlead/tests/test_incarnations.py
@@ -10,7 +10,6 @@
 from hawthornlead.events import EventRing
 from hawthornlead.gateway.crash_watches import GATHER_S, RESTART_SEEN_S, CrashWatch
 from hawthornlead.gateway.engine_slots import AdapterKey
-from hawthornlead.gateway.known_targets import KnownTargets
 from hawthornlead.gateway.records import (
     Incarnation,
     Loss,
@@ -20,6 +19,7 @@
 )
 from hawthornlead.gateway.target_choices import Holding
 from hawthornlead.gateway.target_loads import TargetLoads
+from hawthornlead.gateway.target_tables import TargetTable
 from hawthornlead.messages.gateways import (
     AdapterUse,
     HeldAdapter,
@@ -50,7 +50,7 @@
     def __init__(self):
         self.timers = ManualTimerService()
         self.events = EventRing("vm-1", HybridClock(self.timers))
-        self.targets = KnownTargets(
+        self.targets = TargetTable(
             memberships=Reaching(), timers=self.timers, events=self.events
         )
         self.restarts = []
