--- a/hawthornlead/gateway/target_beliefs.py
+++ b/hawthornlead/gateway/observed_targets.py
@@ -10,7 +10,7 @@
 from .records import TargetEntry, held_version
 
 
-class TargetBeliefs:
+class ObservedTarget:
     """What was told of one incarnation; ``since`` is when this VM first heard of it.
 
     ``owner`` and ``fence`` outlive an incarnation: the same VM orders the next one,
@@ -18,7 +18,7 @@
 
     ::
 
-        beliefs = TargetBeliefs(started_ms=1790000000000, since=timers.now())
+        beliefs = ObservedTarget(started_ms=1790000000000, since=timers.now())
         beliefs.take("edge-1", holdings, timers.now())
         beliefs.held(entry, AdapterKey("m", "a3"))
     """
--- a/hawthornlead/gateway/target_tables.py
+++ b/hawthornlead/gateway/target_tables.py
@@ -9,6 +9,7 @@
 from ..timers import TimerService
 from .engine_slots import AdapterKey
 from .memberships import Memberships
+from .observed_targets import ObservedTarget
 from .records import (
     Incarnation,
     Loss,
@@ -17,7 +18,6 @@
     StoredRecord,
     TargetEntry,
 )
-from .target_beliefs import TargetBeliefs
 from .target_choices import Holding
 from .watchers import KindWatcher
 
@@ -57,7 +57,7 @@
         self._by_service: dict[str, dict[str, TargetEntry]] = {}
         self._missing: dict[str, float] = {}
         self._versions: dict[AdapterKey, int] = {}
-        self._beliefs: dict[str, TargetBeliefs] = {}
+        self._beliefs: dict[str, ObservedTarget] = {}
         self._stored_starts: dict[str, int | None] = {}
         # When each target that leaves was first known to, by its own word.
         self._leaving: dict[Incarnation, float] = {}
@@ -353,7 +353,7 @@
 
     def _renew_beliefs(self, incarnation: Incarnation) -> None:
         former = self._beliefs_of(incarnation.target)
-        self._beliefs[incarnation.target] = TargetBeliefs(
+        self._beliefs[incarnation.target] = ObservedTarget(
             incarnation.started_ms, self._timers.now(), former.owner, former.fence
         )
 
@@ -368,10 +368,10 @@
             self._leaving[entry.incarnation] = self._leaving.pop(known.incarnation)
         self._enter(entry)
 
-    def _beliefs_of(self, target: str) -> TargetBeliefs:
+    def _beliefs_of(self, target: str) -> ObservedTarget:
         beliefs = self._beliefs.get(target)
         if beliefs is None:
-            beliefs = TargetBeliefs(None, self._timers.now())
+            beliefs = ObservedTarget(None, self._timers.now())
             self._beliefs[target] = beliefs
         return beliefs
 
