--- a/hawthornlead/gateway/target_attempts.py
+++ b/hawthornlead/gateway/target_attempts.py
@@ -6,13 +6,13 @@
 from ..platform.headers import request_headers
 from .caller_calls import CallerCall
 from .gateway_parts import GatewayParts
-from .loss_beliefs import Follower
 from .placers import Placed
 from .records import CallerRequest, Loss, Route, RouteKind, TargetEntry, Workspace
 from .request_reports import RequestReport
 from .stream_relays import CallerStream, StreamRelay
 from .target_choices import Holding
 from .target_connections import AnswerSink, Exchange, Head, WholeAnswer
+from .target_liveness import LossSubscriber
 from .target_probes import ANOTHER_ID
 
 # What is left of a deadline must allow this much, else nothing is begun.
@@ -123,7 +123,7 @@
         route: Route,
         entry: TargetEntry,
         exchange: Exchange,
-        follower: Follower,
+        follower: LossSubscriber,
         sink: AnswerSink,
     ) -> None:
         sent_at = self._parts.timers.now()
@@ -148,7 +148,7 @@
         )
 
     async def _fetch_from(
-        self, route: Route, entry: TargetEntry, exchange: Exchange, follower: Follower
+        self, route: Route, entry: TargetEntry, exchange: Exchange, follower: LossSubscriber
     ) -> Ending:
         answer = WholeAnswer()
         sent_at = self._parts.timers.now()
@@ -191,7 +191,7 @@
         return Ending.DONE
 
     async def _stream_from(
-        self, route: Route, placed: Placed, exchange: Exchange, follower: Follower
+        self, route: Route, placed: Placed, exchange: Exchange, follower: LossSubscriber
     ) -> Ending:
         entry = placed.entry
         relay = StreamRelay(self._stream, self._parts.timers.now)
@@ -221,7 +221,7 @@
         placed: Placed,
         exchange: Exchange,
         relay: StreamRelay,
-        follower: Follower,
+        follower: LossSubscriber,
         sent_at: float,
     ) -> Ending:
         entry = placed.entry
--- a/hawthornlead/gateway/loss_beliefs.py
+++ b/hawthornlead/gateway/target_liveness.py
@@ -24,7 +24,7 @@
 LONG_UNANSWERED = 4
 
 
-class Belief:
+class TargetLiveness:
     """What this VM has seen of one incarnation that it sends requests to.
 
     ``ask_at`` is when it may be asked next and ``found_at`` when it was last;
@@ -36,7 +36,7 @@
         self._now = now
         self.entry = entry
         self.spec = spec
-        self.followers: set[Follower] = set()
+        self.followers: set[LossSubscriber] = set()
         self.waits_since = self.heard_at = now()
         self.ask_at = 0.0
         self.found_at = 0.0
@@ -105,16 +105,16 @@
         return None
 
 
-class Follower:
+class LossSubscriber:
     """One attempt at a target; ``lost`` is done when its target counts as lost."""
 
-    def __init__(self, belief: Belief, may_repeat: bool):
+    def __init__(self, belief: TargetLiveness, may_repeat: bool):
         self._belief = belief
         self._may_repeat = may_repeat
         self.lost: asyncio.Future[Loss] = asyncio.get_running_loop().create_future()
 
     @property
-    def belief(self) -> Belief:
+    def belief(self) -> TargetLiveness:
         """What is believed of its target."""
         return self._belief
 
@@ -123,12 +123,12 @@
         """Whether what is believed is proof enough for an attempt that goes on yet."""
         return not self.lost.done() and self._proof() is not None
 
-    def listen(self, sink: AnswerSink, on_head: Callable[[Head], None]) -> "HeardSink":
+    def listen(self, sink: AnswerSink, on_head: Callable[[Head], None]) -> "ActivitySink":
         """Return a sink that also notes that the target sends.
 
         ``on_head`` is called with the beginning of the answer.
         """
-        return HeardSink(sink, self._belief, on_head)
+        return ActivitySink(sink, self._belief, on_head)
 
     def settle(self) -> bool:
         """End if what is believed is proof enough; return whether it ended now."""
@@ -141,11 +141,11 @@
         return self._belief.enough(self._may_repeat)
 
 
-class HeardSink:
+class ActivitySink:
     """Passes an answer on, and notes that its target sent something."""
 
     def __init__(
-        self, sink: AnswerSink, belief: Belief, on_head: Callable[[Head], None]
+        self, sink: AnswerSink, belief: TargetLiveness, on_head: Callable[[Head], None]
     ):
         self._sink = sink
         self._belief = belief
--- a/hawthornlead/gateway/target_losses.py
+++ b/hawthornlead/gateway/target_losses.py
@@ -8,7 +8,7 @@
     await asyncio.wait([exchange.ended, follower.lost], ...)
     losses.unfollow(follower)
 
-What proof is enough for which request is told in ``loss_beliefs``.
+What proof is enough for which request is told in ``target_liveness``.
 """
 
 import asyncio
@@ -18,16 +18,16 @@
 from ..tasks import TaskSet
 from ..timers import TimerService
 from .gateway_metrics import GatewayMetrics
-from .loss_beliefs import (
+from .records import Incarnation, Loss, ServiceSpec, TargetEntry
+from .target_connections import TargetConnections
+from .target_healths import TargetHealths
+from .target_liveness import (
     LONG_UNANSWERED,
     PROBE_AFTER_S,
     UNANSWERED,
-    Belief,
-    Follower,
+    TargetLiveness,
+    LossSubscriber,
 )
-from .records import Incarnation, Loss, ServiceSpec, TargetEntry
-from .target_connections import TargetConnections
-from .target_healths import TargetHealths
 from .target_probes import LAG_S, Found, TargetProbes
 from .target_tables import TargetTable
 
@@ -61,7 +61,7 @@
         self._connections = connections
         self._healths = healths
         self._timers = timers
-        self._beliefs: dict[Incarnation, Belief] = {}
+        self._beliefs: dict[Incarnation, TargetLiveness] = {}
         self._at_address: dict[str, Incarnation] = {}
         self._tasks = TaskSet()
         targets.subscribe(self._on_lost)
@@ -89,22 +89,22 @@
 
     def follow(
         self, entry: TargetEntry, spec: ServiceSpec, may_repeat: bool
-    ) -> Follower:
+    ) -> LossSubscriber:
         """Follow a target that is sent a request now."""
         now = self._timers.now
         belief = self._beliefs.get(entry.incarnation)
         if belief is None:
-            belief = Belief(entry, spec, now)
+            belief = TargetLiveness(entry, spec, now)
             self._beliefs[entry.incarnation] = belief
         if not belief.followers:
             belief.waits_since = now()
-        follower = Follower(belief, may_repeat)
+        follower = LossSubscriber(belief, may_repeat)
         belief.followers.add(follower)
         name = f"{entry.target} {entry.started_ms}"
         self._tasks.spawn_once(name, lambda: self._watch(belief))
         return follower
 
-    def unfollow(self, follower: Follower) -> None:
+    def unfollow(self, follower: LossSubscriber) -> None:
         """Follow no more: the attempt has ended."""
         belief = follower.belief
         belief.followers.discard(follower)
@@ -122,7 +122,7 @@
 
     # Asking
 
-    async def _watch(self, belief: Belief) -> None:
+    async def _watch(self, belief: TargetLiveness) -> None:
         """Ask a target that stays silent, for as long as requests wait there."""
         while belief.followers and belief.strong is None:
             now = self._timers.now()
@@ -137,13 +137,13 @@
                 # targets for silent.
                 belief.waits_since = self._timers.now()
 
-    async def _ask(self, belief: Belief) -> Found:
+    async def _ask(self, belief: TargetLiveness) -> Found:
         """Ask once, or take part in the asking under way."""
         if belief.asking is None or belief.asking.done():
             belief.asking = self._tasks.spawn(self._probe(belief))
         return await asyncio.shield(belief.asking)
 
-    async def _probe(self, belief: Belief) -> Found:
+    async def _probe(self, belief: TargetLiveness) -> Found:
         if belief.strong is Loss.RESTARTED:
             return Found.RESTARTED
         asked_at = self._timers.now()
@@ -160,7 +160,7 @@
 
     # What is believed
 
-    def _take(self, belief: Belief, found: Found, asked_at: float) -> None:
+    def _take(self, belief: TargetLiveness, found: Found, asked_at: float) -> None:
         now = belief.found_at = self._timers.now()
         belief.ask_at = now + AGAIN_S
         if found is Found.ALIVE:
@@ -181,7 +181,7 @@
         if belief.missed == UNANSWERED or ends:
             self._lose(belief, Loss.UNANSWERED)
 
-    def _take_alive(self, belief: Belief) -> None:
+    def _take_alive(self, belief: TargetLiveness) -> None:
         wrong = belief.proof
         if wrong is not None:
             # It counts as suspect for its silence only, which is over.
@@ -195,7 +195,7 @@
             )
         belief.answered(self._timers.now() + ALIVE_FOR_S)
 
-    def _hears_others(self, belief: Belief) -> bool:
+    def _hears_others(self, belief: TargetLiveness) -> bool:
         """Whether another target was heard since this one began to leave probes."""
         for other in self._beliefs.values():
             if other is not belief and other.heard_at > belief.missed_at:
@@ -217,13 +217,13 @@
         self._lose(belief, loss)
         self._tasks.spawn(self._ask(belief))
 
-    def _prove(self, belief: Belief, loss: Loss) -> None:
+    def _prove(self, belief: TargetLiveness, loss: Loss) -> None:
         """Take a strong proof."""
         if belief.strong is None:
             belief.strong = loss
             self._lose(belief, loss)
 
-    def _lose(self, belief: Belief, loss: Loss) -> None:
+    def _lose(self, belief: TargetLiveness, loss: Loss) -> None:
         """Tell of a proof, and end the requests for which it is enough."""
         entry = belief.entry
         self._metrics.losses.labels(loss.value).inc()
@@ -255,5 +255,5 @@
         if known is not None:
             self._connections.forget(entry.address)
 
-    def _drop(self, belief: Belief) -> None:
+    def _drop(self, belief: TargetLiveness) -> None:
         self._beliefs.pop(belief.entry.incarnation, None)
