--- a/hawthornlead/gateway/forwards.py
+++ b/hawthornlead/gateway/forwards.py
@@ -15,7 +15,7 @@
 from .gateway_parts import GatewayParts
 from .placers import Placed, Wanted
 from .records import CallerRequest, Route, Workspace
-from .request_reports import RequestReport
+from .request_reporters import RequestReporter
 from .routes import choose_service
 from .stream_relays import CallerStream
 from .target_attempts import LEAST_LEFT_S, Attempts, Ending
@@ -42,7 +42,7 @@
         self._call = call
         self._request: CallerRequest = read_caller_request(call.headers)
         self._stream = CallerStream(call)
-        self._report = RequestReport(parts, call, self._request, self._stream)
+        self._report = RequestReporter(parts, call, self._request, self._stream)
         self._deadline_at = 0.0
         self._excluded: set[str] = set()
         self._attempts: Attempts | None = None
--- a/hawthornlead/gateway/request_reports.py
+++ b/hawthornlead/gateway/request_reporters.py
@@ -19,7 +19,7 @@
 }
 
 
-class RequestReport:
+class RequestReporter:
     """Tells how one request goes and ends.
 
     ``sent`` counts the attempts whose bytes left, ``ran`` those that may have run.
--- a/hawthornlead/gateway/target_attempts.py
+++ b/hawthornlead/gateway/target_attempts.py
@@ -8,7 +8,7 @@
 from .gateway_parts import GatewayParts
 from .placers import Placed
 from .records import CallerRequest, Loss, Route, RouteKind, TargetEntry, Workspace
-from .request_reports import RequestReport
+from .request_reporters import RequestReporter
 from .stream_relays import CallerStream, StreamRelay
 from .target_choices import Holding
 from .target_connections import AnswerSink, Exchange, Head, WholeAnswer
@@ -49,7 +49,7 @@
         call: CallerCall,
         request: CallerRequest,
         stream: CallerStream,
-        report: RequestReport,
+        report: RequestReporter,
         deadline_at: float,
         fingerprint: bytes,
         workspace: Workspace | None = None,
@@ -148,7 +148,11 @@
         )
 
     async def _fetch_from(
-        self, route: Route, entry: TargetEntry, exchange: Exchange, follower: LossSubscriber
+        self,
+        route: Route,
+        entry: TargetEntry,
+        exchange: Exchange,
+        follower: LossSubscriber,
     ) -> Ending:
         answer = WholeAnswer()
         sent_at = self._parts.timers.now()
--- a/hawthornlead/gateway/target_liveness.py
+++ b/hawthornlead/gateway/target_liveness.py
@@ -123,7 +123,9 @@
         """Whether what is believed is proof enough for an attempt that goes on yet."""
         return not self.lost.done() and self._proof() is not None
 
-    def listen(self, sink: AnswerSink, on_head: Callable[[Head], None]) -> "ActivitySink":
+    def listen(
+        self, sink: AnswerSink, on_head: Callable[[Head], None]
+    ) -> "ActivitySink":
         """Return a sink that also notes that the target sends.
 
         ``on_head`` is called with the beginning of the answer.
--- a/hawthornlead/gateway/target_losses.py
+++ b/hawthornlead/gateway/target_losses.py
@@ -25,8 +25,8 @@
     LONG_UNANSWERED,
     PROBE_AFTER_S,
     UNANSWERED,
-    TargetLiveness,
     LossSubscriber,
+    TargetLiveness,
 )
 from .target_probes import LAG_S, Found, TargetProbes
 from .target_tables import TargetTable
