--- a/hawthornlead/gateway/gateway_parts.py
+++ b/hawthornlead/gateway/gateway_parts.py
@@ -23,6 +23,7 @@
 from .engine_rooms import EngineRoom
 from .gateway_metrics import GatewayMetrics
 from .leaving_notices import LeavingNotices
+from .loss_detectors import LossDetector
 from .memberships import Memberships
 from .ownerships import Ownerships
 from .placers import Placer
@@ -34,7 +35,6 @@
 from .target_healths import TargetHealths
 from .target_limits import TargetLimits
 from .target_loads import TargetLoads
-from .target_losses import TargetLosses
 from .target_probes import TargetProbes
 from .target_rests import TargetRests
 from .target_tables import TargetTable
@@ -84,7 +84,7 @@
         healths: TargetHealths,
         suspects: Suspects,
         deaths: CrashWatch,
-        losses: TargetLosses,
+        losses: LossDetector,
         limits: TargetLimits,
         rests: TargetRests,
         leaving_notices: LeavingNotices,
@@ -249,7 +249,7 @@
         timers=timers,
         events=core.events,
     )
-    losses = TargetLosses(
+    losses = LossDetector(
         targets=known.targets,
         probes=TargetProbes(
             connections=known.connections, timers=timers, metrics=metrics
--- a/hawthornlead/gateway/target_losses.py
+++ b/hawthornlead/gateway/loss_detectors.py
@@ -41,7 +41,7 @@
 STRONG = {Found.RESTARTED: Loss.RESTARTED, Found.REFUSED: Loss.REFUSED}
 
 
-class TargetLosses:
+class LossDetector:
     """Follows the incarnations that have requests of this VM."""
 
     def __init__(
--- a/hawthornlead/tests/test_target_losses.py
+++ b/hawthornlead/tests/test_loss_detectors.py
@@ -7,9 +7,9 @@
 from prometheus_client import CollectorRegistry
 
 from hawthornlead.gateway.gateway_metrics import GatewayMetrics
+from hawthornlead.gateway.loss_detectors import LossDetector
 from hawthornlead.gateway.records import Loss, ServiceSpec, TargetEntry
 from hawthornlead.gateway.target_healths import TargetHealths
-from hawthornlead.gateway.target_losses import TargetLosses
 from hawthornlead.gateway.target_probes import Found
 from hawthornlead.platform.objects import TARGETS_KIND
 from hawthornlead.timers import ManualTimerService
@@ -297,7 +297,7 @@
     def __init__(self, *found):
         self.timers = ManualTimerService()
         self.probes = Probes(*found)
-        self.losses = TargetLosses(
+        self.losses = LossDetector(
             targets=Mock(),
             probes=self.probes,
             connections=Mock(),
