--- a/hawthornlead/gateway/gateway_parts.py
+++ b/hawthornlead/gateway/gateway_parts.py
@@ -31,12 +31,12 @@
 from .routes import RouteTable
 from .run_times import RunTimes
 from .store_clients import StoreClient
+from .target_backoffs import TargetBackoffs
 from .target_connections import TargetConnections
 from .target_healths import TargetHealths
 from .target_limits import TargetLimits
 from .target_loads import TargetLoads
 from .target_probes import TargetProbes
-from .target_rests import TargetRests
 from .target_tables import TargetTable
 from .vm_leases import VmLease
 from .watch_relays import WatchRelays
@@ -86,7 +86,7 @@
         deaths: CrashWatch,
         losses: LossDetector,
         limits: TargetLimits,
-        rests: TargetRests,
+        rests: TargetBackoffs,
         leaving_notices: LeavingNotices,
         run_times: RunTimes,
         quotas: QuotaLedger,
@@ -273,7 +273,7 @@
         "Targets that name a limit of requests a second",
         lambda: len(limits.named),
     )
-    rests = TargetRests(timers=timers, events=core.events)
+    rests = TargetBackoffs(timers=timers, events=core.events)
     run_times = RunTimes()
     placer = Placer(
         data_centre=core.settings["DATA_CENTRE"],
--- a/hawthornlead/gateway/placers.py
+++ b/hawthornlead/gateway/placers.py
@@ -26,11 +26,11 @@
 )
 from .refusals import overload, unwanted
 from .run_times import RunTimes
+from .target_backoffs import TargetBackoffs
 from .target_choices import Candidate, Holding
 from .target_healths import TargetHealths
 from .target_limits import TargetLimits
 from .target_loads import TargetLoads
-from .target_rests import TargetRests
 from .target_surveys import TargetSurvey, reading_share
 from .target_tables import TargetTable
 from .target_tries import MAX_LOAD_TRIES, TargetTries
@@ -100,7 +100,7 @@
         loads: TargetLoads,
         healths: TargetHealths,
         limits: TargetLimits,
-        rests: TargetRests,
+        rests: TargetBackoffs,
         mesh: FleetMesh,
         timers: TimerService,
         metrics: GatewayMetrics,
--- a/hawthornlead/gateway/target_rests.py
+++ b/hawthornlead/gateway/target_backoffs.py
@@ -4,7 +4,7 @@
 from ..timers import TimerService
 
 
-class TargetRests:
+class TargetBackoffs:
     """Until when each target wants no request from this VM.
 
     ::
--- a/hawthornlead/gateway/target_surveys.py
+++ b/hawthornlead/gateway/target_surveys.py
@@ -14,6 +14,7 @@
 from .prompt_paces import EVENT_MS, read_ms
 from .records import CallerRequest, Route, ServiceSpec, TargetEntry
 from .run_times import RunTimes
+from .target_backoffs import TargetBackoffs
 from .target_choices import (
     FULL_BATCH_MS,
     Candidate,
@@ -26,7 +27,6 @@
 from .target_healths import TargetHealths
 from .target_limits import TargetLimits
 from .target_loads import TargetLoads
-from .target_rests import TargetRests
 from .target_tables import TargetTable
 
 # For so long what an owner said of its full slots is believed. Slots come free every
@@ -52,7 +52,7 @@
         loads: TargetLoads,
         healths: TargetHealths,
         limits: TargetLimits,
-        rests: TargetRests,
+        rests: TargetBackoffs,
         timers: TimerService,
         run_times: RunTimes,
     ):
