--- a/hawthornlead/gateway/placers.py
+++ b/hawthornlead/gateway/placers.py
@@ -31,9 +31,9 @@
 from .target_healths import TargetHealths
 from .target_limits import TargetLimits
 from .target_loads import TargetLoads
+from .target_searches import MAX_LOAD_TRIES, TargetSearch
 from .target_surveys import TargetSurvey, reading_share
 from .target_tables import TargetTable
-from .target_tries import MAX_LOAD_TRIES, TargetTries
 
 # A load takes 0.25 to 0.3 s and more while many run. One that is not there after this
 # is tried at another target, and what has no place after PLACE_S is refused: a caller
@@ -139,7 +139,7 @@
         failure = Failure(ErrorKind.NO_TARGET, "no target can serve it now", 0.5)
         place_until = min(self._timers.now() + PLACE_S, wanted.deadline_at)
         reading = reading_share(wanted.route, request)
-        tries = TargetTries(
+        tries = TargetSearch(
             excluded=wanted.excluded,
             score=lambda excluded: self._survey.scored(spec, key, excluded, reading),
             timers=self._timers,
--- a/hawthornlead/gateway/target_tries.py
+++ b/hawthornlead/gateway/target_searches.py
@@ -2,7 +2,7 @@
 
 ::
 
-    tries = TargetTries(excluded=frozenset(), score=score, timers=timers)
+    tries = TargetSearch(excluded=frozenset(), score=score, timers=timers)
     best = tries.best(slack_s=0.4)
     tries.note_failed(best.candidate.target, failure)
 """
@@ -31,7 +31,7 @@
 SCORED_KEPT_S = 0.02
 
 
-class TargetTries:
+class TargetSearch:
     """The targets that one request was offered to, and what came of it.
 
     ``score`` returns the usable targets but the ``excluded`` ones, the best first.
--- a/hawthornlead/tests/test_placers.py
+++ b/hawthornlead/tests/test_placers.py
@@ -20,7 +20,7 @@
 )
 from hawthornlead.gateway.run_times import RunTimes
 from hawthornlead.gateway.target_choices import Holding
-from hawthornlead.gateway.target_tries import LEAST_FULL_RETRY_S, MAX_FULL_TRIES
+from hawthornlead.gateway.target_searches import LEAST_FULL_RETRY_S, MAX_FULL_TRIES
 from hawthornlead.messages.gateways import AdapterLoaded, LoadAdapter, PromptReserved
 from hawthornlead.timers import ManualTimerService
 
--- a/hawthornlead/tests/test_target_tries.py
+++ b/hawthornlead/tests/test_target_searches.py
@@ -2,7 +2,7 @@
 
 from hawthornlead.errors import ErrorKind, Failure
 from hawthornlead.gateway.target_choices import Candidate, Holding, Scored
-from hawthornlead.gateway.target_tries import MAX_LOAD_TRIES, TargetTries
+from hawthornlead.gateway.target_searches import MAX_LOAD_TRIES, TargetSearch
 from hawthornlead.timers import ManualTimerService
 
 FULL = Failure(ErrorKind.NO_SLOT, "no slot to spare", 0.15)
@@ -28,7 +28,7 @@
 
 
 def tries_of(estimates, timers):
-    return TargetTries(excluded=frozenset(), score=estimates.score, timers=timers)
+    return TargetSearch(excluded=frozenset(), score=estimates.score, timers=timers)
 
 
 def tried(tries, slack_s):
