--- a/hawthornlead/gateway/target_surveys.py
+++ b/hawthornlead/gateway/candidate_scorers.py
@@ -41,7 +41,7 @@
     wait_ms: float
 
 
-class TargetSurvey:
+class CandidateScorer:
     """Gathers what is known of each target that may take a request."""
 
     def __init__(
--- a/hawthornlead/gateway/placers.py
+++ b/hawthornlead/gateway/placers.py
@@ -15,6 +15,7 @@
     ReservePrompt,
 )
 from ..timers import TimerService
+from .candidate_scorers import CandidateScorer, reading_share
 from .engine_slots import AdapterKey
 from .gateway_metrics import GatewayMetrics
 from .records import (
@@ -32,7 +33,6 @@
 from .target_limits import TargetLimits
 from .target_loads import TargetLoads
 from .target_searches import MAX_LOAD_TRIES, TargetSearch
-from .target_surveys import TargetSurvey, reading_share
 from .target_tables import TargetTable
 
 # A load takes 0.25 to 0.3 s and more while many run. One that is not there after this
@@ -114,7 +114,7 @@
         self._rests = rests
         self._mesh = mesh
         self._configuration: Configuration | None = None
-        self._survey = TargetSurvey(
+        self._survey = CandidateScorer(
             data_centre=data_centre,
             targets=targets,
             loads=loads,
