--- a/hawthornlead/gateway/gateways.py
+++ b/hawthornlead/gateway/gateways.py
@@ -33,11 +33,11 @@
 from .drains import Drain
 from .entry_servers import QuestionServer, Reply
 from .fleet_views import FleetView
-from .forwards import Forward
 from .gateway_metrics import GatewayMetrics
 from .gateway_parts import build_coordination, build_requests, build_targets
 from .memberships import VMS_KIND
 from .records import StoredRecord
+from .request_forwards import RequestForward
 from .target_loads import TargetLoads
 from .target_tables import essence_of_entry
 from .watchers import KindWatcher
@@ -182,7 +182,7 @@
 
     async def _serve(self, call: CallerCall) -> None:
         call.closing = self._drain.draining
-        forward = Forward(self._parts, call)
+        forward = RequestForward(self._parts, call)
         refusal = self._drain.refusal(forward.deadline_s)
         if refusal is not None:
             forward.refuse(refusal)
--- a/hawthornlead/gateway/forwards.py
+++ b/hawthornlead/gateway/request_forwards.py
@@ -18,7 +18,7 @@
 from .request_reporters import RequestReporter
 from .routes import choose_service
 from .stream_relays import CallerStream
-from .target_attempts import LEAST_LEFT_S, Attempts, Ending
+from .target_attempts import LEAST_LEFT_S, Attempts, AttemptOutcome
 from .workspaces import ranked
 
 # A request is offered to so many targets at most that refuse it unrun.
@@ -30,11 +30,11 @@
 # These tell a caller that its request has not run and never will.
 UNRUN_STATUSES = frozenset((404, 429, 503))
 UNRUN_ENDINGS = frozenset(
-    (Ending.UNREACHED, Ending.UNWANTED, Ending.REFUSED, Ending.TOO_EARLY)
+    (AttemptOutcome.UNREACHED, AttemptOutcome.UNWANTED, AttemptOutcome.REFUSED, AttemptOutcome.TOO_EARLY)
 )
 
 
-class Forward:
+class RequestForward:
     """One request of a caller on its way."""
 
     def __init__(self, parts: GatewayParts, call: CallerCall):
@@ -168,7 +168,7 @@
 
     async def _attempt(
         self, route: Route, service: str, placed: Placed
-    ) -> Ending | None:
+    ) -> AttemptOutcome | None:
         """Send the request to its target; None if it isn't sent to any after all."""
         if self._call.left:
             return None
@@ -179,26 +179,26 @@
             return None
         return await self._attempts.make(route, placed)
 
-    async def _goes_on(self, route: Route, placed: Placed, ending: Ending) -> bool:
+    async def _goes_on(self, route: Route, placed: Placed, ending: AttemptOutcome) -> bool:
         """Whether another attempt follows; if not, the caller has its answer."""
         target = placed.entry.target
         self._may_have_run = self._may_have_run or ending not in UNRUN_ENDINGS
-        if ending is Ending.DONE:
+        if ending is AttemptOutcome.DONE:
             return False
-        if ending is Ending.LEFT:
+        if ending is AttemptOutcome.LEFT:
             self._report.caller_gone(target)
             return False
         self._report.attempt_failed(
             target, ending.value, self._attempts.left_s, self._attempts.loss
         )
-        if ending is Ending.TOO_EARLY and not self._waited:
+        if ending is AttemptOutcome.TOO_EARLY and not self._waited:
             # The adapter is a few milliseconds late, or the target is full. One more
             # try where it is about to be costs less than a load elsewhere.
             self._waited = True
             await self._parts.timers.sleep(TOO_EARLY_S)
             return True
         self._excluded.add(target)
-        if ending is Ending.LATE:
+        if ending is AttemptOutcome.LATE:
             self._end_late()
             return False
         if ending in UNRUN_ENDINGS:
--- a/hawthornlead/gateway/target_attempts.py
+++ b/hawthornlead/gateway/target_attempts.py
@@ -21,7 +21,7 @@
 SILENT_S = 1.2
 
 
-class Ending(Enum):
+class AttemptOutcome(Enum):
     """How one attempt at one target has ended."""
 
     DONE = "done"
@@ -73,27 +73,27 @@
         """What is left of the deadline."""
         return self._deadline_at - self._parts.timers.now()
 
-    async def make(self, route: Route, placed: Placed) -> Ending:
+    async def make(self, route: Route, placed: Placed) -> AttemptOutcome:
         """Send the request to a target and pass its answer on."""
         entry = placed.entry
         losses = self._parts.losses
         self.loss = None
         spec = self._parts.configuration.service(entry.service)
         if spec is None or not await losses.sound(entry):
-            return Ending.UNREACHED
+            return AttemptOutcome.UNREACHED
         if not self._may_send(placed):
-            return Ending.UNWANTED
+            return AttemptOutcome.UNWANTED
         opened = await self._parts.connections.open(entry.address)
         if opened.is_err():
             self._blame(entry, gone=True)
-            return Ending.UNREACHED
+            return AttemptOutcome.UNREACHED
         exchange = opened.ok_value
         if self._call.left:
             exchange.release()
-            return Ending.LEFT
+            return AttemptOutcome.LEFT
         if not self._parts.targets.is_current(entry):
             exchange.close()
-            return Ending.UNREACHED
+            return AttemptOutcome.UNREACHED
         self._parts.loads.began(entry.target, placed.key)
         slots = spec.engine.batch if spec.engine else entry.slots
         self._slots = slots
@@ -153,7 +153,7 @@
         entry: TargetEntry,
         exchange: Exchange,
         follower: LossSubscriber,
-    ) -> Ending:
+    ) -> AttemptOutcome:
         answer = WholeAnswer()
         sent_at = self._parts.timers.now()
         self._send(route, entry, exchange, follower, answer)
@@ -164,12 +164,12 @@
         if not exchange.ended.done():
             exchange.close()
             if self._call.left:
-                return Ending.LEFT
+                return AttemptOutcome.LEFT
             if follower.lost.done():
                 self.loss = follower.lost.result()
-                return Ending.LOST
+                return AttemptOutcome.LOST
             self._blame(entry)
-            return Ending.LATE
+            return AttemptOutcome.LATE
         if answer.head is None or not exchange.whole:
             exchange.close()
             return self._note_lost(entry, exchange)
@@ -181,22 +181,22 @@
 
     def _take_whole(
         self, route: Route, entry: TargetEntry, answer: WholeAnswer
-    ) -> Ending:
+    ) -> AttemptOutcome:
         head = answer.head
         if not head.signs.sealed or head.status in (408, 421, 429, 503):
             # These statuses promise that nothing ran, which this target did not say.
-            return Ending.FAILED
+            return AttemptOutcome.FAILED
         again = route.repeatable and self._report.ran + 1 < route.attempts
         if head.status >= 500 and again and self.left_s > LEAST_LEFT_S:
             self.failed_answer = answer
-            return Ending.FAILED
+            return AttemptOutcome.FAILED
         self._report.answer(answer)
         self._report.served(entry, head.status, None)
-        return Ending.DONE
+        return AttemptOutcome.DONE
 
     async def _stream_from(
         self, route: Route, placed: Placed, exchange: Exchange, follower: LossSubscriber
-    ) -> Ending:
+    ) -> AttemptOutcome:
         entry = placed.entry
         relay = StreamRelay(self._stream, self._parts.timers.now)
         sent_at = self._parts.timers.now()
@@ -227,17 +227,17 @@
         relay: StreamRelay,
         follower: LossSubscriber,
         sent_at: float,
-    ) -> Ending:
+    ) -> AttemptOutcome:
         entry = placed.entry
         if not exchange.ended.done():
             # Closed before anything follows: a target that yet lives drops the run.
             exchange.close()
             if self._call.left:
-                return Ending.LEFT
+                return AttemptOutcome.LEFT
             if follower.lost.done():
                 self.loss = follower.lost.result()
-                return Ending.BROKEN if relay.accepted else Ending.LOST
-            return Ending.LATE
+                return AttemptOutcome.BROKEN if relay.accepted else AttemptOutcome.LOST
+            return AttemptOutcome.LATE
         if relay.head is None:
             exchange.close()
             return self._note_lost(entry, exchange)
@@ -248,7 +248,7 @@
         if not exchange.whole or (relay.rest and not relay.head.framed):
             exchange.close()
             self._note_lost(entry, exchange)
-            return Ending.BROKEN
+            return AttemptOutcome.BROKEN
         exchange.release()
         relay.flush()
         if not self._stream.begun:
@@ -256,11 +256,11 @@
         self._call.finish()
         self._note_run(entry, sent_at)
         self._report.served(entry, relay.head.status, relay)
-        return Ending.DONE
+        return AttemptOutcome.DONE
 
     def _end_refused_stream(
         self, placed: Placed, exchange: Exchange, relay: StreamRelay
-    ) -> Ending:
+    ) -> AttemptOutcome:
         entry, head = placed.entry, relay.head
         if not exchange.whole:
             exchange.close()
@@ -270,15 +270,15 @@
             return self._note_refused(entry, head.status, placed)
         self._blame(entry)
         if self._stream.begun or not head.signs.sealed:
-            return Ending.FAILED
+            return AttemptOutcome.FAILED
         answer = WholeAnswer()
         answer.take_head(head)
         answer.take_data(relay.rest)
         if head.status in (408, 421, 429, 503):
-            return Ending.FAILED
+            return AttemptOutcome.FAILED
         self._report.answer(answer)
         self._report.served(entry, head.status, None)
-        return Ending.DONE
+        return AttemptOutcome.DONE
 
     # What is learned of the target
 
@@ -305,31 +305,31 @@
         if self._parts.targets.is_current(entry):
             self._parts.healths.failed(entry.target, gone)
 
-    def _note_lost(self, entry: TargetEntry, exchange: Exchange) -> Ending:
+    def _note_lost(self, entry: TargetEntry, exchange: Exchange) -> AttemptOutcome:
         self._blame(entry)
         self._parts.deaths.broke(entry, self._fingerprint)
-        return Ending.LOST
+        return AttemptOutcome.LOST
 
     def _note_refused(
         self, entry: TargetEntry, status: int, placed: Placed | None
-    ) -> Ending:
+    ) -> AttemptOutcome:
         if self._parts.rests.wait_s(entry.target):
             # It sheds load, which says nothing of its health or of the adapter.
-            return Ending.REFUSED
+            return AttemptOutcome.REFUSED
         key = placed.key if placed is not None else None
         if key is None or not key.adapter:
             self._blame(entry)
-            return Ending.REFUSED
+            return AttemptOutcome.REFUSED
         if not self._parts.targets.is_current(entry):
-            return Ending.REFUSED
+            return AttemptOutcome.REFUSED
         self._parts.placer.note_missing(entry.target, key)
         if status == ANOTHER_ID and placed.candidate.holding is Holding.READY:
             # One that was loaded for this request is said to be there by foresight and
             # may be late. Given up, it would be fetched again at the next engine, and
             # the more is fetched the later each fetch is.
             self._parts.targets.note_absent(entry.target, key)
-            return Ending.REFUSED
-        return Ending.TOO_EARLY
+            return AttemptOutcome.REFUSED
+        return AttemptOutcome.TOO_EARLY
 
     def _note_wait(self, entry: TargetEntry, sent_at: float, status: int) -> None:
         if status >= 500:
