--- a/hawthornlead/gateway/request_forwards.py
+++ b/hawthornlead/gateway/request_forwards.py
@@ -18,7 +18,7 @@
 from .request_reporters import RequestReporter
 from .routes import choose_service
 from .stream_relays import CallerStream
-from .target_attempts import LEAST_LEFT_S, Attempts, AttemptOutcome
+from .target_attempts import LEAST_LEFT_S, AttemptOutcome, Attempts
 from .workspaces import ranked
 
 # A request is offered to so many targets at most that refuse it unrun.
@@ -30,7 +30,12 @@
 # These tell a caller that its request has not run and never will.
 UNRUN_STATUSES = frozenset((404, 429, 503))
 UNRUN_ENDINGS = frozenset(
-    (AttemptOutcome.UNREACHED, AttemptOutcome.UNWANTED, AttemptOutcome.REFUSED, AttemptOutcome.TOO_EARLY)
+    (
+        AttemptOutcome.UNREACHED,
+        AttemptOutcome.UNWANTED,
+        AttemptOutcome.REFUSED,
+        AttemptOutcome.TOO_EARLY,
+    )
 )
 
 
@@ -179,7 +184,9 @@
             return None
         return await self._attempts.make(route, placed)
 
-    async def _goes_on(self, route: Route, placed: Placed, ending: AttemptOutcome) -> bool:
+    async def _goes_on(
+        self, route: Route, placed: Placed, ending: AttemptOutcome
+    ) -> bool:
         """Whether another attempt follows; if not, the caller has its answer."""
         target = placed.entry.target
         self._may_have_run = self._may_have_run or ending not in UNRUN_ENDINGS
