--- a/hawthornlead/ownership/lease_terminators.py
+++ b/hawthornlead/ownership/lease_terminators.py
@@ -18,15 +18,15 @@
     with_ended,
     with_pruned,
 )
-from .registrations import RegistrationTable, Seen
+from .registrations import RegistrationTable, SeenRegistration
 from .renewal_objects import CounterTable, counters_of, renewal_kind, with_removed
 
 # Ended entries that are proved stopped, and leases that were entered but never
 # registered, are kept for so many leases.
-KEEP_LEASES = 20
+ENDED_RETENTION_LEASES = 20
 # No lease has this counter: an end under it succeeds only if there is no lease.
 NO_COUNTER = -1
-LAST_RANK = 4
+MAX_RANK = 4
 
 
 def clock_safe_wait_s(seconds: float, rate_error: float) -> float:
@@ -98,7 +98,7 @@
         return await self.write_end(seen, SILENT, counter)
 
     async def write_end(
-        self, seen: Seen, proof: str, counter: int | None
+        self, seen: SeenRegistration, proof: str, counter: int | None
     ) -> Result[None, Failure]:
         """Remove the lease, then mark the registration ended.
 
@@ -114,7 +114,7 @@
         )
         if removed.is_err():
             return removed
-        self._counters.take(removed.ok_value)
+        self._counters.apply(removed.ok_value)
         if incarnation in counters_of(removed.ok_value):
             return Err(Failure(ErrorKind.VERSION_CONFLICT, "the lease was renewed"))
         marked = await self._store.update(
@@ -122,7 +122,7 @@
         )
         if marked.is_err():
             return marked
-        self._registrations.take(marked.ok_value)
+        self._registrations.apply(marked.ok_value)
         self._events.emit(EventKind.VM_ENDED, incarnation, proof=proof)
         return Ok(None)
 
@@ -163,7 +163,7 @@
         self._suspect_since = suspects
         await self._tidy(now)
 
-    def _suspects(self) -> list[tuple[Seen, str | None]]:
+    def _suspects(self) -> list[tuple[SeenRegistration, str | None]]:
         # After an outage of the store every counter has stood still, and whoever
         # renews first would end all the others. They get a lease's time to renew.
         held_for_s = self._timers.now() - self._holder.held_since
@@ -177,7 +177,7 @@
             silent = steady and self._is_watched(registration)
             if proof is not None or (silent and self._left_of(seen) <= 0):
                 suspects.append((seen, proof))
-        for seen in self._registrations.in_doubt():
+        for seen in self._registrations.ended_without_proof():
             registration = seen.registration
             proof = self._proof_gone(registration)
             if proof is not None:
@@ -203,10 +203,10 @@
         names.discard(registration.vm)
         names = names or set(self._members.live_vms())
         order = rendezvous(registration.incarnation, names)
-        rank = order.index(self._vm) if self._vm in order else LAST_RANK
-        return min(rank, LAST_RANK)
+        rank = order.index(self._vm) if self._vm in order else MAX_RANK
+        return min(rank, MAX_RANK)
 
-    def _left_of(self, seen: Seen) -> float:
+    def _left_of(self, seen: SeenRegistration) -> float:
         """Seconds until another's lease has run out on its holder's clock."""
         known = self._counters.seen(seen.registration.incarnation)
         since = known.since if known is not None else seen.since
@@ -224,14 +224,14 @@
         names = self._members.in_data_centre(self._data_centre)
         if not names or rendezvous("tidy", names)[0] != self._vm:
             return
-        limit = now - KEEP_LEASES * self._settings["LEASE_S"]
+        limit = now - ENDED_RETENTION_LEASES * self._settings["LEASE_S"]
         prunable = self._registrations.prunable(self._data_centre, limit)
         for shard, pruned in prunable.items():
             pruning = await self._store.update(
                 KIND, shard, lambda value, p=pruned: with_pruned(value, p)
             )
             if pruning.is_ok():
-                self._registrations.take(pruning.ok_value)
+                self._registrations.apply(pruning.ok_value)
         for incarnation, known in self._counters.all().items():
             if known.since > limit or self._registrations.seen(incarnation):
                 continue
--- a/hawthornlead/ownership/leases.py
+++ b/hawthornlead/ownership/leases.py
@@ -30,7 +30,7 @@
     with_registered,
 )
 from .lease_terminators import LeaseTerminator, clock_safe_wait_s
-from .registrations import RegistrationTable, Seen
+from .registrations import RegistrationTable, SeenRegistration
 from .renewal_batchers import RenewalBatcher, outcome_of
 from .renewal_objects import CounterTable, counters_of, renewal_kind, with_entered
 
@@ -69,33 +69,33 @@
         self._renew_s = settings["LEASE_RENEW_S"]
         self._incarnation = incarnation or f"{self._vm}.{rng.getrandbits(64):016x}"
         self._counter = 0
-        self._until = float("-inf")
+        self._valid_until = float("-inf")
         self._held_since = float("-inf")
         self._shard = ""
-        self._tried_number = 0
+        self._shard_number = 0
         self._entered_version = 0
         self._registered_version = 0
         self._ended = False
         self._released = False
-        self._lapse_told = False
+        self._lapse_reported = False
         self._kind = renewal_kind(self._data_centre)
-        self._table = RegistrationTable(timers)
+        self._registrations = RegistrationTable(timers)
         self._counters = CounterTable(timers)
-        self._folder = RenewalBatcher(
+        self._batcher = RenewalBatcher(
             store=store,
             timers=timers,
             kind=self._kind,
             counters=self._counters,
-            gather_s=self._renew_s / 2,
+            batch_s=self._renew_s / 2,
         )
-        self._ender = LeaseTerminator(
+        self._terminator = LeaseTerminator(
             settings=settings,
             timers=timers,
             events=events,
             store=store,
             members=members,
             holder=self,
-            registrations=self._table,
+            registrations=self._registrations,
             counters=self._counters,
         )
         self._on_ended: list[Callable[[], None]] = []
@@ -124,7 +124,7 @@
     @property
     def synced(self) -> bool:
         """Whether the registrations of all VMs have been read once."""
-        return self._table.synced
+        return self._registrations.synced
 
     def held(self, for_s: float = 0.0) -> bool:
         """Whether the lease is valid now and for ``for_s`` seconds more.
@@ -134,15 +134,15 @@
         """
         if self._ended or not self._shard:
             return False
-        return self._timers.now() + for_s < self._until
+        return self._timers.now() + for_s < self._valid_until
 
     def registered(self) -> tuple[Registration, ...]:
         """All registrations known, live and ended ones."""
-        return self._table.all()
+        return self._registrations.all()
 
     def registration_of(self, incarnation: str) -> Registration | None:
         """What is known of one incarnation; None when it is not registered."""
-        seen = self._table.seen(incarnation)
+        seen = self._registrations.seen(incarnation)
         return seen.registration if seen is not None else None
 
     async def live_in_store(self) -> Result[set[str], Failure]:
@@ -158,13 +158,15 @@
 
     def start(self) -> None:
         """Begin to register, renew, and watch the others."""
-        self._mesh.on(RenewLease, self._folder.handle)
+        self._mesh.on(RenewLease, self._batcher.handle)
         self._watches = [
-            self._store.watch(KIND, self._take_event, self._table.mark_synced),
-            self._store.watch(self._kind, self._take_counters),
+            self._store.watch(
+                KIND, self._on_registrations, self._registrations.mark_synced
+            ),
+            self._store.watch(self._kind, self._on_counters),
         ]
-        self._task = asyncio.get_running_loop().create_task(self._keep())
-        self._ender.start()
+        self._task = asyncio.get_running_loop().create_task(self._run())
+        self._terminator.start()
 
     async def stop(self) -> None:
         """Renew no more; without ``release`` the lease runs out by itself."""
@@ -172,8 +174,8 @@
             watch.cancel()
         if self._task is not None:
             self._task.cancel()
-        await self._ender.stop()
-        self._folder.stop()
+        await self._terminator.stop()
+        self._batcher.stop()
 
     async def register(self) -> Result[None, Failure]:
         """Register this VM start, under a new incarnation if the old was ended.
@@ -182,7 +184,7 @@
         known to be ended.
         """
         if self._ended:
-            self._begin_anew()
+            self._start_new_incarnation()
         self._counter += 1
         sent_at = self._timers.now()
         incarnation = self._incarnation
@@ -196,9 +198,9 @@
         self._shard = shard
         self._entered_version = entered.ok_value.version
         self._registered_version = written.ok_value.version
-        self._counters.take(entered.ok_value)
-        self._table.take(written.ok_value)
-        self._check_own()
+        self._counters.apply(entered.ok_value)
+        self._registrations.apply(written.ok_value)
+        self._check_own_lease()
         if self._ended:
             return Err(Failure(ErrorKind.STALE_FENCE, "the incarnation was ended"))
         self._extend(incarnation, sent_at)
@@ -208,11 +210,13 @@
     async def release(self) -> Result[None, Failure]:
         """End the own lease for good, at shutdown, when nothing is owned any more."""
         self._released = True
-        seen = Seen(self._own_registration(), self._shard, self._timers.now())
-        self._note_ended("released")
+        seen = SeenRegistration(
+            self._own_registration(), self._shard, self._timers.now()
+        )
+        self._mark_ended("released")
         if not seen.shard:
             return Ok(None)
-        return await self._ender.write_end(seen, RELEASED, None)
+        return await self._terminator.write_end(seen, RELEASED, None)
 
     async def end(
         self, vm: str, incarnation: str, proof: str | None
@@ -225,15 +229,15 @@
         written: a renewal written first makes the end fail, an end written first
         makes every later renewal fail.
         """
-        return await self._ender.end(vm, incarnation, proof)
+        return await self._terminator.end(vm, incarnation, proof)
 
-    def _begin_anew(self) -> None:
+    def _start_new_incarnation(self) -> None:
         former, shard = self._incarnation, self._shard
         self._incarnation = next_incarnation(former)
         self._counter = 0
         self._shard = ""
-        self._tried_number = 0
-        self._until = float("-inf")
+        self._shard_number = 0
+        self._valid_until = float("-inf")
         self._ended = False
         if not shard:
             return
@@ -262,12 +266,12 @@
         while True:
             entered = await self._store.update(
                 self._kind,
-                f"{self._data_centre}-{self._tried_number}",
+                f"{self._data_centre}-{self._shard_number}",
                 lambda value: with_entered(value, incarnation, counter),
             )
             if entered.is_err() or incarnation in counters_of(entered.ok_value):
                 return entered
-            self._tried_number += 1
+            self._shard_number += 1
 
     async def _write_registration(self, shard: str) -> Result[StoredObject, Failure]:
         new = self._own_registration()
@@ -293,10 +297,10 @@
             return
         if not self.held():
             self._held_since = self._timers.now()
-        self._until = max(self._until, sent_at + self._lease_s)
-        self._lapse_told = False
+        self._valid_until = max(self._valid_until, sent_at + self._lease_s)
+        self._lapse_reported = False
 
-    def _note_ended(self, reason: str) -> None:
+    def _mark_ended(self, reason: str) -> None:
         if self._ended:
             return
         self._ended = True
@@ -309,15 +313,15 @@
         for callback in self._on_ended:
             callback()
 
-    def _take_event(self, event) -> None:
-        self._table.take_event(event)
-        self._check_own()
+    def _on_registrations(self, event) -> None:
+        self._registrations.apply_event(event)
+        self._check_own_lease()
 
-    def _take_counters(self, event) -> None:
-        self._counters.take(event.object)
-        self._check_own()
+    def _on_counters(self, event) -> None:
+        self._counters.apply(event.object)
+        self._check_own_lease()
 
-    def _check_own(self) -> None:
+    def _check_own_lease(self) -> None:
         """Notice that the store no longer holds this VM's lease."""
         if not self._shard:
             return
@@ -326,31 +330,31 @@
         if counters.version(self._shard) >= self._entered_version and (
             counters.seen(incarnation) is None
         ):
-            self._note_ended("the lease was ended")
-        if self._table.version(self._shard) < self._registered_version:
+            self._mark_ended("the lease was ended")
+        if self._registrations.version(self._shard) < self._registered_version:
             return
         registration = self.registration_of(incarnation)
         if registration is None or registration.state == ENDED:
-            self._note_ended("the registration was ended")
+            self._mark_ended("the registration was ended")
 
-    async def _keep(self) -> None:
+    async def _run(self) -> None:
         while not self._released:
-            begun_at = self._timers.now()
+            started_at = self._timers.now()
             try:
-                await self._keep_once()
+                await self._renew_once()
             except Exception:
                 # A bug met in one renewal must not end all later ones.
                 logger.exception("keeping the lease failed")
-            if not self._ended and not self.held() and not self._lapse_told:
-                self._lapse_told = True
+            if not self._ended and not self.held() and not self._lapse_reported:
+                self._lapse_reported = True
                 self._events.emit(
                     EventKind.LEASE_LAPSED, self._vm, incarnation=self._incarnation
                 )
-            spent = self._timers.now() - begun_at
+            spent = self._timers.now() - started_at
             pause = self._renew_s * self._rng.uniform(0.9, 1.0) - spent
             await self._timers.sleep(max(pause, self._renew_s / 10))
 
-    async def _keep_once(self) -> None:
+    async def _renew_once(self) -> None:
         if self._ended or not self._shard:
             await self.register()
             return
@@ -364,7 +368,7 @@
         if incarnation != self._incarnation:
             return
         if renewed.err_value.kind is ErrorKind.STALE_FENCE:
-            self._note_ended("a renewal was refused")
+            self._mark_ended("a renewal was refused")
 
     async def _renew(self, incarnation: str, counter: int) -> Result:
         aggregator = self._aggregator()
@@ -378,7 +382,7 @@
         outage = reply.is_err() and reply.err_value.kind is ErrorKind.STORE_UNAVAILABLE
         if outage and self.held(self._lease_s / 2):
             return reply
-        written = await self._folder.write(self._shard, {incarnation: counter})
+        written = await self._batcher.write(self._shard, {incarnation: counter})
         return outcome_of(written, incarnation, counter)
 
     def _aggregator(self) -> str:
--- a/hawthornlead/ownership/members.py
+++ b/hawthornlead/ownership/members.py
@@ -15,14 +15,14 @@
 from .lease_objects import process_of
 
 # How often a fresh connection must be refused, one after the other.
-REFUSALS = 2
+MIN_REFUSALS = 2
 # A VM list older than this many reading intervals proves no absence.
-FRESH_INTERVALS = 3
+MAX_LIST_AGE_INTERVALS = 3
 # Callers asking at once get spans from this share of ENTRY_KEEP_S up to all of it.
-LEAST_KEPT = 0.75
-MET_KEPT = 4096
+MIN_KEEP_SHARE = 0.75
+MAX_MET = 4096
 # Fresh connections opened at once when many VMs were lost.
-PROBES_AT_ONCE = 64
+MAX_CONCURRENT_PROBES = 64
 
 
 class EntryAnswer(NamedTuple):
@@ -38,7 +38,7 @@
     spare: int
 
 
-class _Met:
+class _MetIncarnation:
     """An incarnation that this VM was connected to."""
 
     def __init__(self, address: str):
@@ -77,7 +77,7 @@
         self._rng = rng or random.Random()
         self._draining = False
         self._subscription = None
-        self._met: dict[tuple[str, str], _Met] = {}
+        self._met: dict[tuple[str, str], _MetIncarnation] = {}
         mesh.on(Hello, self._on_hello)
         mesh.on(Goodbye, self._on_goodbye)
 
@@ -142,7 +142,7 @@
         met = self._met.get((vm, incarnation))
         if met is None or self._connected(vm, incarnation):
             return None
-        if met.refusals >= REFUSALS:
+        if met.refusals >= MIN_REFUSALS:
             return "refused"
         if self._list_is_fresh() and self._long_absent(met):
             return "absent"
@@ -161,7 +161,7 @@
         near = [entry for entry in drawn if entry.data_centre == data_centre]
         far = [entry for entry in drawn if entry.data_centre != data_centre]
         chosen = near[:count] + far[:count]
-        keep_s = self._settings["ENTRY_KEEP_S"] * self._rng.uniform(LEAST_KEPT, 1.0)
+        keep_s = self._settings["ENTRY_KEEP_S"] * self._rng.uniform(MIN_KEEP_SHARE, 1.0)
         return EntryAnswer(tuple(entry.address for entry in chosen), keep_s)
 
     async def check_lost_vms(self) -> None:
@@ -176,20 +176,22 @@
             if (vm, incarnation) in connected:
                 met.refusals = 0
                 continue
-            if met.refusals < REFUSALS and not self._mesh.gone(vm, incarnation):
+            if met.refusals < MIN_REFUSALS and not self._mesh.gone(vm, incarnation):
                 lost.append(met)
         self._rng.shuffle(lost)
-        await asyncio.gather(*(self._probe(met) for met in lost[:PROBES_AT_ONCE]))
+        await asyncio.gather(
+            *(self._probe(met) for met in lost[:MAX_CONCURRENT_PROBES])
+        )
 
-    async def _probe(self, met: _Met) -> None:
+    async def _probe(self, met: _MetIncarnation) -> None:
         probed = await self._mesh.probe(met.address)
         met.refusals = met.refusals + 1 if probed == "refused" else 0
 
     async def _on_hello(self, sender: PeerInfo, hello: Hello) -> None:
         key = (sender.vm, sender.incarnation)
         if key not in self._met:
-            self._met[key] = _Met(sender.address)
-        while len(self._met) > MET_KEPT:
+            self._met[key] = _MetIncarnation(sender.address)
+        while len(self._met) > MAX_MET:
             del self._met[next(iter(self._met))]
 
     async def _on_goodbye(self, sender: PeerInfo, goodbye: Goodbye) -> None:
@@ -197,14 +199,14 @@
             EventKind.PEER_GOODBYE, sender.vm, incarnation=sender.incarnation
         )
 
-    def _note_listed(self, met: _Met, listed: bool) -> None:
+    def _note_listed(self, met: _MetIncarnation, listed: bool) -> None:
         if listed:
             met.listed = True
             met.absent_since = None
         elif met.absent_since is None:
             met.absent_since = self._timers.now()
 
-    def _long_absent(self, met: _Met) -> bool:
+    def _long_absent(self, met: _MetIncarnation) -> bool:
         # The list lags: just after a VM was replaced under its name, the list may
         # have dropped the old one and not yet taken up the new. Such a gap is short,
         # and the new one is connected meanwhile; a lasting absence is no such gap.
@@ -216,7 +218,7 @@
         return absent_s > 2 * self._settings["PEER_SILENT_S"]
 
     def _list_is_fresh(self) -> bool:
-        longest_s = FRESH_INTERVALS * self._settings["VM_LIST_INTERVAL_S"]
+        longest_s = MAX_LIST_AGE_INTERVALS * self._settings["VM_LIST_INTERVAL_S"]
         return self._vm_list.age_s <= longest_s
 
     def _connected(self, vm: str, incarnation: str) -> bool:
--- a/hawthornlead/ownership/owner_records.py
+++ b/hawthornlead/ownership/owner_records.py
@@ -20,7 +20,7 @@
 KIND = "owners"
 # Every VM must compute the same object for a resource: fixed, not a setting.
 SHARDS = 16
-MOST_UNPROVED = 16
+MAX_UNPROVED = 16
 
 
 class FormerOwner(NamedTuple):
@@ -31,7 +31,7 @@
 
 
 # Stands for those that no longer fit in a record; it is never proved stopped.
-FORGOTTEN = FormerOwner("", "")
+UNLISTED_OWNERS = FormerOwner("", "")
 
 
 class OwnerRecord(NamedTuple):
@@ -95,8 +95,8 @@
     unproved = old.unproved
     if not old.free and not stopped:
         unproved += (FormerOwner(old.vm, old.incarnation),)
-    if len(unproved) > MOST_UNPROVED:
-        unproved = (FORGOTTEN, *unproved[1 - MOST_UNPROVED :])
+    if len(unproved) > MAX_UNPROVED:
+        unproved = (UNLISTED_OWNERS, *unproved[1 - MAX_UNPROVED :])
     wait = bool(unproved) and (old.wait or unproved != old.unproved)
     # GRA-8: the proof that an owner's process ended tells nothing of an order that
     # it sent before; only one that gave back with no order open leaves none.
@@ -114,7 +114,7 @@
     return OwnerRecord("", "", old.fence, wait, old.unproved, not settled)
 
 
-def by_shard(resources: Iterable[str]) -> dict[str, list[str]]:
+def group_by_shard(resources: Iterable[str]) -> dict[str, list[str]]:
     """Sort resources by the object that holds their records."""
     shards: dict[str, list[str]] = {}
     for resource in resources:
--- a/hawthornlead/ownership/owners.py
+++ b/hawthornlead/ownership/owners.py
@@ -21,8 +21,8 @@
 from .owner_records import (
     KIND,
     OwnerRecord,
-    by_shard,
     freed_record,
+    group_by_shard,
     records_of,
     taken_record,
     with_records,
@@ -32,7 +32,7 @@
 
 __all__ = ["OrderRight", "OwnerRecord", "Owners", "Ownership"]
 
-TICK_S = 0.2
+TAKEOVER_INTERVAL_S = 0.2
 
 
 class Owners:
@@ -80,7 +80,7 @@
         """Begin to watch records and to take what is wanted and free."""
         self._leases.on_ended(self._lose_all)
         self._watch = self._store.watch(
-            KIND, lambda event: self._take(event.object), self._mark_synced
+            KIND, lambda event: self._apply(event.object), self._mark_synced
         )
         self._task = asyncio.get_running_loop().create_task(self._run())
 
@@ -183,7 +183,7 @@
             # may have it.
             self._lose(resource, EventKind.OWNERSHIP_RELEASED)
         settled -= {name for name in resources if self._has_open_order(name)}
-        for shard, names in by_shard(resources).items():
+        for shard, names in group_by_shard(resources).items():
             written = await self._store.update(
                 KIND,
                 shard,
@@ -195,7 +195,7 @@
                 outcome = Err(written.err_value)
                 continue
             self._releasing.difference_update(names)
-            self._take(written.ok_value)
+            self._apply(written.ok_value)
         return outcome
 
     def _full_at(self, resource: str) -> float:
@@ -225,7 +225,7 @@
             except Exception:
                 # A bug met with one resource must not end the taking of all others.
                 logger.exception("taking ownership failed")
-            await self._timers.sleep(TICK_S * self._rng.uniform(0.75, 1.0))
+            await self._timers.sleep(TAKEOVER_INTERVAL_S * self._rng.uniform(0.75, 1.0))
 
     async def _tick(self) -> None:
         if not self._synced or not self._leases.synced or self._stopping:
@@ -241,7 +241,7 @@
         due = self._due()
         if not due:
             return
-        for shard, names in by_shard(due).items():
+        for shard, names in group_by_shard(due).items():
             await self._take_over(shard, names)
 
     async def _release_again(self, names: tuple[str, ...]) -> None:
@@ -272,7 +272,7 @@
             lambda value: self._with_taken(value, names, ended.ok_value, incarnation),
         )
         if written.is_ok():
-            self._take(written.ok_value)
+            self._apply(written.ok_value)
             return
         logger.debug("ownership not taken: {}", written.err_value.detail)
 
@@ -299,7 +299,7 @@
     def _mark_synced(self) -> None:
         self._synced = True
 
-    def _take(self, stored: StoredObject) -> None:
+    def _apply(self, stored: StoredObject) -> None:
         """Take in an object as it was read or written, unless a newer is known.
 
         The watch may tell of the state before a takeover after the answer to the
--- a/hawthornlead/ownership/registrations.py
+++ b/hawthornlead/ownership/registrations.py
@@ -6,7 +6,7 @@
 from .lease_objects import ENDED, KIND, LIVE, Registration, registrations
 
 
-class Seen(NamedTuple):
+class SeenRegistration(NamedTuple):
     """A registration, the object that holds it, and since when it stands so."""
 
     registration: Registration
@@ -19,7 +19,7 @@
 
     def __init__(self, timers):
         self._timers = timers
-        self._seen: dict[str, Seen] = {}
+        self._seen: dict[str, SeenRegistration] = {}
         self._versions: dict[str, int] = {}
         self._synced = False
 
@@ -32,7 +32,7 @@
         """All registrations, live and ended."""
         return tuple(seen.registration for seen in self._seen.values())
 
-    def seen(self, incarnation: str) -> Seen | None:
+    def seen(self, incarnation: str) -> SeenRegistration | None:
         """What is known of one incarnation."""
         return self._seen.get(incarnation)
 
@@ -40,7 +40,7 @@
         """The version of the newest object taken in."""
         return self._versions.get(shard, 0)
 
-    def live(self) -> list[Seen]:
+    def live(self) -> list[SeenRegistration]:
         """All that are live by what is known."""
         return [s for s in self._seen.values() if s.registration.state == LIVE]
 
@@ -59,7 +59,7 @@
                 found.setdefault(seen.shard, []).append(incarnation)
         return found
 
-    def in_doubt(self) -> list[Seen]:
+    def ended_without_proof(self) -> list[SeenRegistration]:
         """All that were ended without proof that their process stopped."""
         return [
             seen
@@ -71,11 +71,11 @@
         """Note that all objects have been read."""
         self._synced = True
 
-    def take_event(self, event: WatchEvent) -> None:
+    def apply_event(self, event: WatchEvent) -> None:
         """Take in a change told by the watch."""
-        self.take(event.object)
+        self.apply(event.object)
 
-    def take(self, stored: StoredObject) -> None:
+    def apply(self, stored: StoredObject) -> None:
         """Take in an object as it was read or written, unless a newer is known.
 
         The watch and the answers to own writes arrive in any order.
@@ -89,7 +89,9 @@
             old = self._seen.get(registration.incarnation)
             same = old is not None and old.registration == registration
             since = old.since if same else now
-            present[registration.incarnation] = Seen(registration, stored.name, since)
+            present[registration.incarnation] = SeenRegistration(
+                registration, stored.name, since
+            )
         for incarnation, seen in list(self._seen.items()):
             if seen.shard == stored.name and incarnation not in present:
                 del self._seen[incarnation]
--- a/hawthornlead/ownership/renewal_batchers.py
+++ b/hawthornlead/ownership/renewal_batchers.py
@@ -1,7 +1,7 @@
 """The aggregator's side of renewing leases: many renewals, one write.
 
 Any VM answers ``RenewLease``; which one is asked is the asker's choice. What
-arrives within ``gather_s`` goes into one conditional update per object, so that
+arrives within ``batch_s`` goes into one conditional update per object, so that
 the writes per second do not grow with the VMs of a data centre.
 """
 
@@ -18,12 +18,12 @@
 class RenewalBatcher:
     """Folds the renewals of a data centre's VMs into one write per object."""
 
-    def __init__(self, *, store, timers, kind: str, counters: CounterTable, gather_s):
+    def __init__(self, *, store, timers, kind: str, counters: CounterTable, batch_s):
         self._store = store
         self._timers = timers
         self._kind = kind
         self._counters = counters
-        self._gather_s = gather_s
+        self._batch_s = batch_s
         self._waiting: dict[str, dict[str, tuple[int, asyncio.Future]]] = {}
         self._tasks = TaskSet()
 
@@ -61,12 +61,12 @@
             self._kind, shard, lambda value: with_renewed(value, counters)
         )
         if written.is_ok():
-            self._counters.take(written.ok_value)
+            self._counters.apply(written.ok_value)
         return written
 
     async def _fold(self, shard: str) -> None:
         try:
-            await self._timers.sleep(self._gather_s)
+            await self._timers.sleep(self._batch_s)
         finally:
             waiting = self._waiting.pop(shard)
         counters = {key: counter for key, (counter, _) in waiting.items()}
--- a/hawthornlead/ownership/renewal_objects.py
+++ b/hawthornlead/ownership/renewal_objects.py
@@ -94,7 +94,7 @@
         """The version of the newest object taken in."""
         return self._versions.get(shard, 0)
 
-    def take(self, stored: StoredObject) -> None:
+    def apply(self, stored: StoredObject) -> None:
         """Take in an object as it was read or written, unless a newer is known.
 
         The watch and the answers to own writes arrive in any order.
--- a/hawthornlead/ownership/takeover_orders.py
+++ b/hawthornlead/ownership/takeover_orders.py
@@ -11,8 +11,8 @@
 
 from ..hashes import rendezvous
 
-BACK_OFF_S = 0.4
-LAST_RANK = 6
+RANK_DELAY_S = 0.4
+MAX_RANK = 6
 
 
 class FreeResource(NamedTuple):
@@ -54,10 +54,10 @@
         due = []
         for item in sorted(free):
             order = self._order_for(item, counts, resources_in[item.data_centre])
-            rank = order.index(self._vm) if self._vm in order else LAST_RANK
+            rank = order.index(self._vm) if self._vm in order else MAX_RANK
             counts[order[0]] += 1
             since = self._free_since[item.resource]
-            if now - since >= min(rank, LAST_RANK) * BACK_OFF_S:
+            if now - since >= min(rank, MAX_RANK) * RANK_DELAY_S:
                 due.append(item.resource)
         return due
 
--- a/hawthornlead/tests/test_leases.py
+++ b/hawthornlead/tests/test_leases.py
@@ -148,7 +148,7 @@
     world.freeze(frozen)
     await world.run(15)
     assert not frozen.leases.held()
-    renewed = await other.leases._folder.write("dc1-0", {old: 10**6})
+    renewed = await other.leases._batcher.write("dc1-0", {old: 10**6})
     assert old not in renewed.ok_value.value["counters"]
     world.thaw(frozen)
     await world.run(3)
@@ -197,9 +197,9 @@
     await world.run(3)
     vm.leases._extend("vm-1.former", vm.timers.now() + 100)
     assert not vm.leases.held(50)
-    vm.leases._note_ended("test")
+    vm.leases._mark_ended("test")
     vm.leases._extend(vm.leases.incarnation, vm.timers.now() + 100)
-    assert vm.leases._until < vm.timers.now() + 50
+    assert vm.leases._valid_until < vm.timers.now() + 50
 
 
 async def test_late_events_change_nothing(world):
@@ -212,8 +212,8 @@
     vm = world.add("vm-2")
     await world.kill(gone)
     await world.run(3)
-    vm.leases._take_event(WatchEvent("put", old[0]))
-    vm.leases._take_counters(WatchEvent("put", old[1]))
+    vm.leases._on_registrations(WatchEvent("put", old[0]))
+    vm.leases._on_counters(WatchEvent("put", old[1]))
     assert vm.leases.state == "held"
     assert vm.leases.registration_of(gone.leases.incarnation).state == "ended"
     assert vm.leases._counters.seen(gone.leases.incarnation) is None
@@ -277,7 +277,7 @@
 async def test_unknown_incarnation_is_told_so(world):
     vm = world.add("vm-1")
     await world.run(3)
-    reply = await vm.leases._folder.handle(None, RenewLease("x", "x.1", 1))
+    reply = await vm.leases._batcher.handle(None, RenewLease("x", "x.1", 1))
     assert reply.kind == ErrorKind.NOT_FOUND.value
 
 
--- a/hawthornlead/tests/test_owners.py
+++ b/hawthornlead/tests/test_owners.py
@@ -6,8 +6,8 @@
 
 from hawthornlead.ownership.former_owners import FormerOwners
 from hawthornlead.ownership.owner_records import (
-    FORGOTTEN,
-    MOST_UNPROVED,
+    MAX_UNPROVED,
+    UNLISTED_OWNERS,
     OwnerRecord,
     records_of,
     shard_of,
@@ -199,7 +199,7 @@
     owner = world.owner_of(ENGINE)
     assert owner.owners.right(ENGINE) is OrderRight.FULL
     world.freeze(owner)
-    last_order_at = owner.leases._until
+    last_order_at = owner.leases._valid_until
     (other,) = [vm for vm in world.vms.values() if vm is not owner]
     for _ in range(300):
         if other.owners.right(ENGINE) is OrderRight.FULL:
@@ -236,7 +236,7 @@
 async def test_two_take_over_at_once(world, monkeypatch):
     # All VMs believe that it is their turn and take in the same instant: one
     # conditional update wins, the others see its owner live and leave it.
-    monkeypatch.setattr("hawthornlead.ownership.takeover_orders.BACK_OFF_S", 0.0)
+    monkeypatch.setattr("hawthornlead.ownership.takeover_orders.RANK_DELAY_S", 0.0)
     for number in range(5):
         world.add(f"vm-{number}")
     await world.run(5)
@@ -302,7 +302,7 @@
     assert (await releaser.owners.release(ENGINE)).is_err()
     releaser.store._put = put
     assert records(world)[0].free
-    releaser.owners._take(before)
+    releaser.owners._apply(before)
     releaser.owners.request(ENGINE, "dc1")
     assert releaser.owners.right(ENGINE) is OrderRight.NONE
     await world.run(2)
@@ -322,7 +322,7 @@
     await world.kill(world.vms["vm-1"])
     successor = world.add("vm-2")
     await world.run(5)
-    successor.owners._take(before)
+    successor.owners._apply(before)
     assert world.owner_of(ENGINE) is successor
 
 
@@ -340,7 +340,7 @@
     while owner.leases.state != "ended":
         await asyncio.sleep(0)
     written = await other.store.update("owners", shard_of(ENGINE), dict)
-    owner.owners._take(written.ok_value)
+    owner.owners._apply(written.ok_value)
     assert owner.leases.state == "ended" and owner.owners.owned(ENGINE).fence == 1
     assert owner.owners.right(ENGINE) is OrderRight.NONE
     assert (await owner.leases.register()).is_ok()
@@ -366,7 +366,7 @@
     late.owners.withdraw(ENGINE)
     await world.run(5)
     assert world.owner_of(ENGINE) is owner
-    del late.leases._table._seen[owner.leases.incarnation]
+    del late.leases._registrations._seen[owner.leases.incarnation]
     late.owners.request(ENGINE, "dc1")
     former = FormerOwners(leases=late.leases, members=late.members)
     ended = await former.ended_among(records(world))
@@ -377,10 +377,10 @@
 
 def test_unproved_predecessors_are_kept():
     record = None
-    for number in range(MOST_UNPROVED + 5):
+    for number in range(MAX_UNPROVED + 5):
         record = taken_record(record, f"vm-{number}", f"i{number}", stopped=False)
-    assert record.fence == MOST_UNPROVED + 5
-    assert len(record.unproved) == MOST_UNPROVED
-    assert record.unproved[0] == FORGOTTEN and record.wait
+    assert record.fence == MAX_UNPROVED + 5
+    assert len(record.unproved) == MAX_UNPROVED
+    assert record.unproved[0] == UNLISTED_OWNERS and record.wait
     record = taken_record(record, "vm-x", "ix", stopped=True)
-    assert record.wait and len(record.unproved) == MOST_UNPROVED
+    assert record.wait and len(record.unproved) == MAX_UNPROVED
