--- a/hawthornlead/gateway/engine_rooms.py
+++ b/hawthornlead/gateway/engine_managers.py
@@ -52,7 +52,7 @@
 CHANGES_S = 3.0
 
 
-class EngineRoom:
+class EngineManager:
     """Claims engines, orders those that are owned, and tells what they hold."""
 
     def __init__(
--- a/hawthornlead/gateway/gateway_parts.py
+++ b/hawthornlead/gateway/gateway_parts.py
@@ -20,7 +20,7 @@
 from ..mesh.sparse_peers import SparsePeerMesh
 from .crash_watches import CrashWatch
 from .engine_calls import EngineCalls
-from .engine_rooms import EngineRoom
+from .engine_managers import EngineManager
 from .gateway_metrics import GatewayMetrics
 from .known_targets import KnownTargets
 from .leaving_words import LeavingWords
@@ -66,7 +66,7 @@
     connections: TargetConnections
     loads: TargetLoads
     healths: TargetHealths
-    room: EngineRoom
+    room: EngineManager
 
 
 class GatewayParts:
@@ -216,7 +216,7 @@
     targets = KnownTargets(memberships=memberships, timers=timers, events=core.events)
     connections = TargetConnections(timers=timers)
     loads = TargetLoads(timers=timers, incarnation=targets.incarnation)
-    room = EngineRoom(
+    room = EngineManager(
         memberships=memberships,
         ownerships=coordination.ownerships,
         targets=targets,
--- a/hawthornlead/tests/fakes_owned_engines.py
+++ b/hawthornlead/tests/fakes_owned_engines.py
@@ -200,7 +200,7 @@
         )
 
     async def restart(self):
-        """Start the engine again and order its new start, as ``EngineRoom`` does."""
+        """Start the engine again and order its new start, as ``EngineManager`` does."""
         former = self.owner
         former.stop()
         self.engine.restart()
