--- a/hawthornlead/gateway/engine_managers.py
+++ b/hawthornlead/gateway/engine_managers.py
@@ -28,7 +28,7 @@
 from .holding_words import HoldingWords
 from .known_targets import KnownTargets
 from .late_orders import LATE_ORDER_S, LateOrders
-from .load_words import LoadWords
+from .load_announcements import LoadAnnouncements
 from .memberships import Memberships
 from .ownerships import Ownerships
 from .records import (
@@ -83,7 +83,7 @@
         self._orphaned_at: dict[str, float] = {}
         # Times of first fetches and of those that an engine held lately.
         self._arrivals = {False: ArrivalTimes(), True: ArrivalTimes()}
-        self._words = LoadWords(
+        self._words = LoadAnnouncements(
             memberships=memberships,
             loads=loads,
             mesh=mesh,
--- a/hawthornlead/gateway/load_words.py
+++ b/hawthornlead/gateway/load_announcements.py
@@ -40,7 +40,7 @@
 SILENT_S = 1.0
 
 
-class LoadWords:
+class LoadAnnouncements:
     """Tells the other VMs of this VM's requests, and takes their words.
 
     ``on_word`` is called with each word, also with this VM's own; ``owned`` returns the
--- a/hawthornlead/tests/fakes_fleets.py
+++ b/hawthornlead/tests/fakes_fleets.py
@@ -16,7 +16,7 @@
 from hawthornlead.decisions.quotas import QuotaLedger
 from hawthornlead.fleet.fleet_meshes import FleetMesh
 from hawthornlead.fleet.rosters import Roster
-from hawthornlead.gateway.load_words import LoadWords
+from hawthornlead.gateway.load_announcements import LoadAnnouncements
 from hawthornlead.gateway.records import VmRecord
 from hawthornlead.gateway.target_loads import TargetLoads
 from hawthornlead.mesh.codecs import Frame, encode
@@ -184,7 +184,7 @@
             share=lambda: self.heard_share,
             vms=lambda: self.roster.count or 1,
         )
-        self.words = LoadWords(
+        self.words = LoadAnnouncements(
             memberships=self,
             loads=self.loads,
             mesh=self.mesh,
--- a/hawthornlead/tests/fakes_spread.py
+++ b/hawthornlead/tests/fakes_spread.py
@@ -18,7 +18,7 @@
 from hawthornlead.events import EventRing
 from hawthornlead.fleet.fleet_meshes import FleetMesh
 from hawthornlead.fleet.rosters import Roster
-from hawthornlead.gateway.load_words import LoadWords
+from hawthornlead.gateway.load_announcements import LoadAnnouncements
 from hawthornlead.gateway.memberships import VMS_KIND, Memberships
 from hawthornlead.gateway.records import StoredRecord, VmRecord
 from hawthornlead.gateway.target_loads import TargetLoads
@@ -184,14 +184,14 @@
         self.timers.stop()
         self.timers.freeze()
 
-    def _make_words(self, rng: Random) -> LoadWords:
+    def _make_words(self, rng: Random) -> LoadAnnouncements:
         quotas = QuotaLedger(
             now=self.timers.now,
             rng=rng,
             share=lambda: self.memberships.heard_share,
             vms=lambda: self.roster.count or 1,
         )
-        return LoadWords(
+        return LoadAnnouncements(
             memberships=self.memberships,
             loads=TargetLoads(timers=self.timers),
             mesh=self.mesh,
--- a/hawthornlead/tests/test_load_words.py
+++ b/hawthornlead/tests/test_load_announcements.py
@@ -3,7 +3,7 @@
 import pytest
 
 from hawthornlead.gateway.engine_slots import AdapterKey
-from hawthornlead.gateway.load_words import GATHER_S, GATHERED_STEPS
+from hawthornlead.gateway.load_announcements import GATHER_S, GATHERED_STEPS
 
 from .fakes_fleets import FakeFleet, let_run
 
