--- a/hawthornlead/gateway/engine_managers.py
+++ b/hawthornlead/gateway/engine_managers.py
@@ -25,7 +25,7 @@
 from .engine_releases import EngineReleases
 from .engine_slots import AdapterKey
 from .gateway_metrics import GatewayMetrics
-from .holding_words import HoldingWords
+from .holding_announcements import HoldingAnnouncements
 from .known_targets import KnownTargets
 from .late_orders import LATE_ORDER_S, LateOrders
 from .load_announcements import LoadAnnouncements
@@ -92,7 +92,7 @@
             owned=lambda: self.owned,
             quotas=quotas,
         )
-        self._holding_words = HoldingWords(
+        self._holding_words = HoldingAnnouncements(
             mesh=mesh,
             timers=timers,
             own=self._all_holdings,
--- a/hawthornlead/gateway/holding_words.py
+++ b/hawthornlead/gateway/holding_announcements.py
@@ -20,12 +20,12 @@
 RETELL_S = 4.0
 
 
-class HoldingWords:
+class HoldingAnnouncements:
     """Tells of the engines that this VM owns, and takes the other owners' words.
 
     ``own`` returns what is to be told again, ``on_told`` takes owner and word::
 
-        words = HoldingWords(mesh=mesh, timers=timers, own=room.holdings,
+        words = HoldingAnnouncements(mesh=mesh, timers=timers, own=room.holdings,
                              on_told=targets.take)
         words.tell(owner.holdings)
     """
--- a/hawthornlead/tests/test_holding_words.py
+++ b/hawthornlead/tests/test_holding_announcements.py
@@ -4,7 +4,11 @@
 
 import pytest
 
-from hawthornlead.gateway.holding_words import GATHER_S, RETELL_S, HoldingWords
+from hawthornlead.gateway.holding_announcements import (
+    GATHER_S,
+    RETELL_S,
+    HoldingAnnouncements,
+)
 from hawthornlead.messages import TargetHoldings
 from hawthornlead.messages.gateways import HeldAdapter, HeldAdapters
 
@@ -28,7 +32,7 @@
         self.told = {}
         self.heard = Counter()
         mesh = fleet.vms[name].mesh
-        self.words = HoldingWords(
+        self.words = HoldingAnnouncements(
             mesh=mesh,
             timers=fleet.timers,
             own=lambda: tuple(self.owned),
