--- a/hawthornlead/gateway/adapter_requests.py
+++ b/hawthornlead/gateway/adapter_requests.py
@@ -16,7 +16,7 @@
 from ..timers import TimerService
 from ..waits import Signal
 from .engine_slots import AdapterKey, EngineSlots
-from .fetch_followers import FIRST_LOOK_S
+from .fetch_trackers import FIRST_LOOK_S
 from .load_checks import MAX_ARRIVING, LoadChecks
 from .slot_queues import SlotWanted
 from .slot_waits import SlotWaits
--- a/hawthornlead/gateway/engine_owners.py
+++ b/hawthornlead/gateway/engine_owners.py
@@ -2,7 +2,7 @@
 
 Requests of all VMs ask here for adapters and for their prompts' turns. How an order is
 given stands in ``engine_orders``, how an adapter's way is followed in
-``fetch_followers``, and what may still come of orders to a former start of the engine
+``fetch_trackers``, and what may still come of orders to a former start of the engine
 in ``late_orders``.
 """
 
@@ -28,7 +28,7 @@
 from .engine_orders import EngineOrders
 from .engine_reports import REPORT_LAG_S, EngineReports
 from .engine_slots import AdapterKey, AdaptersInUse, EngineSlots, Slot, SlotState
-from .fetch_followers import FetchFollower, shows_adapter
+from .fetch_trackers import FetchTracker, shows_adapter
 from .gateway_metrics import GatewayMetrics
 from .late_orders import LateOrders
 from .load_checks import LoadChecks
@@ -118,7 +118,7 @@
             events=events,
             on_restarted=on_restarted,
         )
-        self._fetches = FetchFollower(
+        self._fetches = FetchTracker(
             slots=self._slots,
             arrivals=arrivals,
             timers=timers,
--- a/hawthornlead/gateway/fetch_followers.py
+++ b/hawthornlead/gateway/fetch_trackers.py
@@ -29,7 +29,7 @@
 LOAD_GIVEN_UP_S = 5.0
 
 
-class FetchFollower:
+class FetchTracker:
     """Follows the fetches of one engine.
 
     ``arrivals`` are the learned times of first fetches (False) and of repeated ones
--- a/hawthornlead/tests/fakes_owned_engines.py
+++ b/hawthornlead/tests/fakes_owned_engines.py
@@ -11,7 +11,7 @@
     adapter_requests,
     engine_owners,
     engine_reports,
-    fetch_followers,
+    fetch_trackers,
 )
 from hawthornlead.gateway.arrival_times import ArrivalTimes
 from hawthornlead.gateway.engine_owners import EngineOwner
@@ -238,6 +238,6 @@
     monkeypatch.setattr(engine_reports, "REPORT_LAG_S", 0.02)
     monkeypatch.setattr(engine_reports, "LOOK_S", 0.05)
     monkeypatch.setattr(adapter_requests, "FIRST_LOOK_S", 0.03)
-    monkeypatch.setattr(fetch_followers, "FIRST_LOOK_S", 0.03)
-    monkeypatch.setattr(fetch_followers, "LOOK_S", 0.01)
+    monkeypatch.setattr(fetch_trackers, "FIRST_LOOK_S", 0.03)
+    monkeypatch.setattr(fetch_trackers, "LOOK_S", 0.01)
     monkeypatch.setattr(engine_owners, "REPORT_RETRY_S", 0.02)
