--- a/hawthornlead/gateway/engine_owners.py
+++ b/hawthornlead/gateway/engine_owners.py
@@ -33,7 +33,7 @@
 from .late_orders import LateOrders
 from .load_checks import LoadChecks
 from .ownerships import Ownerships
-from .prompt_paces import PromptPace
+from .prompt_pacers import PromptPacer
 from .recent_adapters import recently_kept
 from .records import (
     EngineReport,
@@ -99,7 +99,7 @@
             late=late,
             timers=timers,
         )
-        self._pace = PromptPace()
+        self._pace = PromptPacer()
         self._orders = EngineOrders(
             ownerships=ownerships,
             calls=calls,
--- a/hawthornlead/gateway/prompt_paces.py
+++ b/hawthornlead/gateway/prompt_pacers.py
@@ -19,7 +19,7 @@
 EVENT_MS = 45.0
 
 
-class PromptPace:
+class PromptPacer:
     """The pace of one engine.
 
     ::
--- a/hawthornlead/gateway/target_surveys.py
+++ b/hawthornlead/gateway/target_surveys.py
@@ -12,7 +12,7 @@
 from .adapter_homes import AdapterHomes
 from .engine_slots import AdapterKey
 from .known_targets import KnownTargets
-from .prompt_paces import EVENT_MS, read_ms
+from .prompt_pacers import EVENT_MS, read_ms
 from .records import CallerRequest, Route, ServiceSpec, TargetEntry
 from .run_times import RunTimes
 from .target_choices import (
--- a/hawthornlead/tests/test_gateway_decisions.py
+++ b/hawthornlead/tests/test_gateway_decisions.py
@@ -14,12 +14,12 @@
     EngineSlots,
     SlotState,
 )
-from hawthornlead.gateway.prompt_paces import (
+from hawthornlead.gateway.prompt_pacers import (
     BURST_MS,
     DUTY,
     EVENT_MS,
     TOKENS_PER_MS,
-    PromptPace,
+    PromptPacer,
     read_ms,
 )
 from hawthornlead.gateway.records import (
@@ -65,7 +65,7 @@
     Several callers' long prompts came together and the engine read them one after
     the other between two tokens of everybody else.
     """
-    pace = PromptPace()
+    pace = PromptPacer()
     waits = [pace.reserve(4000, GAP_MS, now=5.0) for _ in range(4)]
     read_s = 4000 / TOKENS_PER_MS / 1000
     assert waits[0] == 0
@@ -74,7 +74,7 @@
 
 
 def test_a_short_prompt_at_an_idle_moment_does_not_wait():
-    pace = PromptPace()
+    pace = PromptPacer()
     short = int(BURST_MS * TOKENS_PER_MS / 2)
     assert pace.reserve(short, GAP_MS, now=5.0) == 0
     assert pace.reserve(short, GAP_MS, now=5.0) == 0
@@ -88,7 +88,7 @@
 
     A prompt that takes nearly as long as the pause began while another was being read.
     """
-    pace = PromptPace()
+    pace = PromptPacer()
     long = int((gap_ms * (1 - DUTY) - EVENT_MS + 1) * TOKENS_PER_MS)
     pace.reserve(600, gap_ms, now=5.0)
     assert pace.expected_wait(5.0, 600, gap_ms) < pace.expected_wait(5.0, long, gap_ms)
@@ -98,7 +98,7 @@
 
 @given(st.lists(st.tuples(st.floats(0, 0.2), st.integers(1, 7000)), max_size=60))
 def test_paced_prompts_never_take_more_than_their_share(arrivals):
-    pace, now, starts = PromptPace(), 0.0, []
+    pace, now, starts = PromptPacer(), 0.0, []
     for gap_s, tokens in arrivals:
         now += gap_s
         starts.append((now + pace.reserve(tokens, GAP_MS, now), tokens))
