--- a/hawthornlead/bench/bench_counts.py
+++ b/hawthornlead/bench/bench_counts.py
@@ -8,7 +8,7 @@
     HighestPopularity,
     Popularity,
 )
-from hawthornlead.decisions.popularity_shares import WaitingCounts, pace
+from hawthornlead.decisions.popularity_exchanges import WaitingCounts, pace
 
 
 class Counts:
--- a/hawthornlead/callers/requests.py
+++ b/hawthornlead/callers/requests.py
@@ -14,7 +14,7 @@
 from ..core_parts import CoreParts
 from ..decisions.limits import Admissions
 from ..decisions.popularities import Popularity
-from ..decisions.popularity_shares import PopularityShares
+from ..decisions.popularity_exchanges import PopularityExchange
 from ..decisions.retries import Retries
 from ..decisions.routers import Router
 from ..decisions.suspects import Suspects
@@ -127,7 +127,7 @@
         crashes: CrashParts,
         claims: RequestClaims,
         retries: Retries,
-        shares: PopularityShares,
+        shares: PopularityExchange,
         spares: SpareCopies,
         attempts: AttemptRunner,
         sent: SentAttempts,
--- a/hawthornlead/daemon/daemon_parts.py
+++ b/hawthornlead/daemon/daemon_parts.py
@@ -24,7 +24,7 @@
 from ..decisions.load_orders import LOAD_ORDERS
 from ..decisions.placements import PLACEMENTS, Placement
 from ..decisions.popularities import POPULARITIES, HighestPopularity, Popularity
-from ..decisions.popularity_shares import PopularityShares
+from ..decisions.popularity_exchanges import PopularityExchange
 from ..decisions.retries import Retries
 from ..decisions.routers import ROUTERS, Router
 from ..decisions.suspects import Suspects
@@ -65,7 +65,7 @@
     """What VMs know of targets and do for those that they own."""
 
     popularity: Popularity
-    shares: PopularityShares
+    shares: PopularityExchange
     placement: Placement
     router: Router
     clients: TargetClients
@@ -137,7 +137,7 @@
     settings, timers, rng = core.settings, core.timers, core.rng
     mesh, owners = coordination.mesh, coordination.owners
     popularity = POPULARITIES[settings["POPULARITY"]](settings=settings)
-    shares = PopularityShares(
+    shares = PopularityExchange(
         settings=settings,
         timers=timers,
         rng=rng,
--- a/hawthornlead/decisions/popularity_shares.py
+++ b/hawthornlead/decisions/popularity_exchanges.py
@@ -5,7 +5,7 @@
 too seldom to be told from a one-off. So each VM tells the others what it has counted
 since it last told, its most asked-for adapters first::
 
-    shares = PopularityShares(..., mesh=mesh, members=members, popularity=counts)
+    shares = PopularityExchange(..., mesh=mesh, members=members, popularity=counts)
     shares.observe("tides-12")        # a request admitted here
     counts.rate("tides-12", now)      # of the whole system
 
@@ -100,7 +100,7 @@
     at: float
 
 
-class PopularityShares:
+class PopularityExchange:
     """Tells this VM's counts and takes in those of the others."""
 
     def __init__(
--- a/hawthornlead/tests/test_popularity_shares.py
+++ b/hawthornlead/tests/test_popularity_exchanges.py
@@ -6,11 +6,11 @@
 
 from hawthornlead.clocks import HybridTime
 from hawthornlead.decisions.popularities import POPULARITIES
-from hawthornlead.decisions.popularity_shares import (
+from hawthornlead.decisions.popularity_exchanges import (
     MAX_WAITING,
     MESSAGE_BYTES,
     SEND_BYTES_PER_S,
-    PopularityShares,
+    PopularityExchange,
     WaitingCounts,
     pace,
 )
@@ -38,7 +38,7 @@
         self.timers = timers
         self.counts = POPULARITIES["decayed"](settings=settings)
         self.mesh = network.join(name, incarnation=incarnation)
-        self.shares = PopularityShares(
+        self.shares = PopularityExchange(
             settings=settings,
             timers=timers,
             rng=random.Random(1),
