--- a/hawthornlead/gateway/adapter_requests.py
+++ b/hawthornlead/gateway/adapter_requests.py
@@ -18,7 +18,7 @@
 from .engine_slots import AdapterKey, EngineSlots
 from .fetch_trackers import FIRST_LOOK_S
 from .load_checks import MAX_ARRIVING, LoadChecks
-from .slot_queues import SlotWanted
+from .slot_queues import SlotRequest
 from .slot_waits import SlotWaits
 
 # A fetch takes 0.25 to 0.3 s, so that with four at once one ends every 65 ms or so.
@@ -64,7 +64,7 @@
         self._slot_waits.stop()
 
     async def load(
-        self, wanted: SlotWanted, version: int, wait_s: float
+        self, wanted: SlotRequest, version: int, wait_s: float
     ) -> Result[int, Failure]:
         """Make an adapter ready and return its version.
 
@@ -84,7 +84,7 @@
                 del self._waiting[key]
 
     async def _load_until(
-        self, wanted: SlotWanted, version: int, give_up_at: float
+        self, wanted: SlotRequest, version: int, give_up_at: float
     ) -> Result[int, Failure]:
         key = wanted.key
         while not self._slots.ready(key, version):
@@ -110,7 +110,7 @@
         return Ok(slot.version if slot else version)
 
     async def _have_ordered(
-        self, wanted: SlotWanted, version: int, left_s: float
+        self, wanted: SlotRequest, version: int, left_s: float
     ) -> Result[None, Failure]:
         """Have a load ordered once there is a slot for it."""
         waited = await self._slot_waits.wait(wanted)
--- a/hawthornlead/gateway/engine_managers.py
+++ b/hawthornlead/gateway/engine_managers.py
@@ -38,7 +38,7 @@
     RestartSeen,
     TargetEntry,
 )
-from .slot_queues import SlotWanted
+from .slot_queues import SlotRequest
 from .target_loads import TargetLoads
 
 CLAIM_EVERY_S = 0.25
@@ -339,7 +339,7 @@
             return failed(Failure(ErrorKind.NO_GRANT, detail, 0.2))
         key = AdapterKey(message.model, message.adapter)
         now = self._timers.now()
-        wanted = SlotWanted(
+        wanted = SlotRequest(
             key, message.rank, now + message.due_s, now + message.slot_wait_s
         )
         loaded: Result = await owner.load(wanted, message.version, message.wait_s)
--- a/hawthornlead/gateway/engine_owners.py
+++ b/hawthornlead/gateway/engine_owners.py
@@ -43,7 +43,7 @@
     OrderOutcome,
     TargetEntry,
 )
-from .slot_queues import SlotWanted
+from .slot_queues import SlotRequest
 from .slot_waits import SlotWaits
 
 # Between tries of a report that can't be had.
@@ -63,7 +63,7 @@
                             timers=timers, holder="edge-1", late=late,
                             on_changed=publish, on_restarted=replace)
         owner.start()
-        wanted = SlotWanted(AdapterKey("m", "a3"), rank=0, due_at=now, until=now)
+        wanted = SlotRequest(AdapterKey("m", "a3"), rank=0, due_at=now, until=now)
         loaded = await owner.load(wanted, version=2, wait_s=1.0)
     """
 
@@ -227,7 +227,7 @@
         self._slot_waits.note_freed()
 
     async def load(
-        self, wanted: SlotWanted, version: int, wait_s: float
+        self, wanted: SlotRequest, version: int, wait_s: float
     ) -> Result[int, Failure]:
         """Make an adapter ready and return its version; see ``AdapterRequests``."""
         return await self._requests.load(wanted, version, wait_s)
--- a/hawthornlead/gateway/slot_queues.py
+++ b/hawthornlead/gateway/slot_queues.py
@@ -21,7 +21,7 @@
 START_EVERY_S = 0.2
 
 
-class SlotWanted(NamedTuple):
+class SlotRequest(NamedTuple):
     """One request that wants a slot.
 
     ``rank`` is its route's, 0 the most urgent. ``due_at`` is when its adapter has to be
@@ -39,7 +39,7 @@
 
     ::
 
-        wanted = SlotWanted(key, rank=0, due_at=now + 0.3, until=now + 0.5)
+        wanted = SlotRequest(key, rank=0, due_at=now + 0.3, until=now + 0.5)
         if queue.expected_wait(wanted, now) <= wanted.until - now:
             queue.enter(wanted)
         queue.is_next(key, now)
@@ -47,17 +47,17 @@
     """
 
     def __init__(self):
-        self._waiting: list[SlotWanted] = []
+        self._waiting: list[SlotRequest] = []
         self._taken: list[float] = []
 
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def enter(self, wanted: SlotWanted) -> None:
+    def enter(self, wanted: SlotRequest) -> None:
         """Let a request wait."""
         self._waiting.append(wanted)
 
-    def leave(self, wanted: SlotWanted) -> None:
+    def leave(self, wanted: SlotRequest) -> None:
         """Note that a request waits no more."""
         self._waiting.remove(wanted)
 
@@ -71,7 +71,7 @@
             return True
         return min(self._waiting, key=lambda each: _order(each, now)).key == key
 
-    def expected_wait(self, wanted: SlotWanted, now: float) -> float:
+    def expected_wait(self, wanted: SlotRequest, now: float) -> float:
         """Return how long a request would wait for a slot, in seconds."""
         mine = _order(wanted, now)
         ahead = set()
@@ -88,5 +88,5 @@
         return min(START_EVERY_S * 2, RATE_WINDOW_S / len(self._taken))
 
 
-def _order(wanted: SlotWanted, now: float) -> tuple[bool, int, float]:
+def _order(wanted: SlotRequest, now: float) -> tuple[bool, int, float]:
     return (now > wanted.due_at, wanted.rank, wanted.due_at)
--- a/hawthornlead/gateway/slot_waits.py
+++ b/hawthornlead/gateway/slot_waits.py
@@ -14,7 +14,7 @@
 from ..timers import TimerService
 from ..waits import Signal
 from .engine_slots import AdapterKey, EngineSlots
-from .slot_queues import SlotQueue, SlotWanted
+from .slot_queues import SlotQueue, SlotRequest
 
 # Who waits for a slot also looks now and then: an adapter that has just come, or was
 # used without a word of its end, is free by the passing of time.
@@ -50,7 +50,7 @@
         self._stopped = True
         self._freed.fire()
 
-    async def wait(self, wanted: SlotWanted) -> Result[None, Failure]:
+    async def wait(self, wanted: SlotRequest) -> Result[None, Failure]:
         """Wait until a slot can be had, if one may come free in time.
 
         Fails with ``NO_SLOT``, at once where it is known that none will, and with the
@@ -76,7 +76,7 @@
         """Wait for a slot that comes free, or a moment."""
         await self._freed.wait(self._timers, LOOK_S)
 
-    def _may_take(self, wanted: SlotWanted) -> bool:
+    def _may_take(self, wanted: SlotRequest) -> bool:
         if wanted.key in self._slots.slots:
             # Another request had it loaded meanwhile.
             return True
@@ -84,6 +84,6 @@
             return False
         return self._queue.is_next(wanted.key, self._timers.now())
 
-    def _refusal(self, wanted: SlotWanted) -> Err[Failure]:
+    def _refusal(self, wanted: SlotRequest) -> Err[Failure]:
         expected_s = self._queue.expected_wait(wanted, self._timers.now())
         return Err(Failure(ErrorKind.NO_SLOT, "no slot to spare", expected_s))
--- a/hawthornlead/tests/fakes_owned_engines.py
+++ b/hawthornlead/tests/fakes_owned_engines.py
@@ -30,7 +30,7 @@
     OrderOutcome,
     TargetEntry,
 )
-from hawthornlead.gateway.slot_queues import SlotWanted
+from hawthornlead.gateway.slot_queues import SlotRequest
 from hawthornlead.timers import TimerService
 
 SLOTS = 8
@@ -221,7 +221,7 @@
     async def load(self, name, version=0, wait_s=2.0):
         """Have the owner load an adapter."""
         now = self.timers.now()
-        wanted = SlotWanted(AdapterKey("tide", name), 0, now, now)
+        wanted = SlotRequest(AdapterKey("tide", name), 0, now, now)
         return await self.owner.load(wanted, version, wait_s)
 
     async def until(self, condition, wait_s=3.0):
--- a/hawthornlead/tests/slot_loads.py
+++ b/hawthornlead/tests/slot_loads.py
@@ -10,7 +10,7 @@
 
 from hawthornlead.gateway.engine_slots import AdapterKey, EngineSlots, SlotState
 from hawthornlead.gateway.records import EngineSpec, ModelSpec
-from hawthornlead.gateway.slot_queues import SlotQueue, SlotWanted
+from hawthornlead.gateway.slot_queues import SlotQueue, SlotRequest
 
 STEP_S = 0.01
 LOAD_S = 0.28
@@ -51,7 +51,7 @@
 class _Waiting(NamedTuple):
     arrived_at: float
     rank: int
-    wanted: SlotWanted
+    wanted: SlotRequest
 
 
 class SlotLoad:
@@ -89,7 +89,7 @@
         rank = 0 if self._rng.random() < 0.2 else 1
         key = AdapterKey("tide", f"a{number}")
         due_at = self._now + OBJECTIVE_S - LOAD_S - FIRST_S
-        waiting = _Waiting(self._now, rank, SlotWanted(key, rank, due_at, due_at))
+        waiting = _Waiting(self._now, rank, SlotRequest(key, rank, due_at, due_at))
         self._outcome.asked[rank] += 1
         self._slots.note_use(key, 1, self._now)
         if self._try(waiting):
--- a/hawthornlead/tests/test_engine_owners.py
+++ b/hawthornlead/tests/test_engine_owners.py
@@ -9,7 +9,7 @@
 from hawthornlead.gateway.engine_slots import AdapterKey, SlotState
 from hawthornlead.gateway.load_checks import MAX_ARRIVING
 from hawthornlead.gateway.records import OrderKind, OrderOutcome
-from hawthornlead.gateway.slot_queues import SlotWanted
+from hawthornlead.gateway.slot_queues import SlotRequest
 from hawthornlead.messages.gateways import ReservePrompt
 
 from .fakes_owned_engines import SLOTS, Bed, shorten_waits
@@ -224,7 +224,7 @@
 
     monkeypatch.setattr(bed.owner._checks, "refusal", refusal)
     now = bed.timers.now()
-    wanted = SlotWanted(AdapterKey("tide", "a1"), 0, now + 0.3, now + 0.3)
+    wanted = SlotRequest(AdapterKey("tide", "a1"), 0, now + 0.3, now + 0.3)
     loaded = await bed.owner.load(wanted, 0, 1.0)
     assert loaded.unwrap_err().kind is ErrorKind.NO_SLOT
     assert len(asked) < 30
@@ -246,7 +246,7 @@
     """
     await fill(bed)
     now = bed.timers.now()
-    wanted = SlotWanted(AdapterKey("tide", "new"), 0, now + 2.0, now + 2.0)
+    wanted = SlotRequest(AdapterKey("tide", "new"), 0, now + 2.0, now + 2.0)
     loading = asyncio.create_task(bed.owner.load(wanted, 0, 3.0))
     await asyncio.sleep(0.15)
     assert not loading.done()
--- a/hawthornlead/tests/test_gateway_drains.py
+++ b/hawthornlead/tests/test_gateway_drains.py
@@ -4,7 +4,7 @@
 
 from hawthornlead.gateway.engine_slots import AdapterKey
 from hawthornlead.gateway.owner_objects import OWNERS_KIND
-from hawthornlead.gateway.slot_queues import SlotWanted
+from hawthornlead.gateway.slot_queues import SlotRequest
 from hawthornlead.gateway.target_loads import TOLD_KEPT_S
 
 from .gateways import MODEL, Deployment, ask
@@ -171,7 +171,7 @@
         for each in deployment.engines:
             each.mute_orders = 100
         owner = leaving._room._owners[target]
-        wanted = SlotWanted(AdapterKey(MODEL, "a5"), 0, 0.0, 0.0)
+        wanted = SlotRequest(AdapterKey(MODEL, "a5"), 0, 0.0, 0.0)
         loading = asyncio.create_task(owner.load(wanted, 0, 5.0))
         await deployment.until(lambda: engine.orders)
         draining = asyncio.create_task(leaving.drain())
--- a/hawthornlead/tests/test_slot_queues.py
+++ b/hawthornlead/tests/test_slot_queues.py
@@ -4,11 +4,11 @@
 from hypothesis import strategies as st
 
 from hawthornlead.gateway.engine_slots import AdapterKey
-from hawthornlead.gateway.slot_queues import START_EVERY_S, SlotQueue, SlotWanted
+from hawthornlead.gateway.slot_queues import START_EVERY_S, SlotQueue, SlotRequest
 
 
 def wanted(name, rank=1, due_at=10.0, until=10.0):
-    return SlotWanted(AdapterKey("tide", name), rank, due_at, until)
+    return SlotRequest(AdapterKey("tide", name), rank, due_at, until)
 
 
 def served(queue, now):
