--- a/hawthornlead/gateway/engine_managers.py
+++ b/hawthornlead/gateway/engine_managers.py
@@ -27,7 +27,6 @@
 from .gateway_metrics import GatewayMetrics
 from .holding_announcements import HoldingAnnouncements
 from .known_targets import KnownTargets
-from .late_orders import LATE_ORDER_S, LateOrders
 from .load_announcements import LoadAnnouncements
 from .memberships import Memberships
 from .ownerships import Ownerships
@@ -40,6 +39,7 @@
 )
 from .slot_queues import SlotRequest
 from .target_loads import TargetLoads
+from .unacknowledged_orders import LATE_ORDER_S, UnacknowledgedOrders
 
 CLAIM_EVERY_S = 0.25
 # A count of uses is forgotten after some half-lives of 10 s.
@@ -261,7 +261,7 @@
     ) -> None:
         """Begin to order one incarnation of an engine."""
         target = entry.target
-        late = LateOrders(
+        late = UnacknowledgedOrders(
             timers=self._timers,
             since=self._targets.known_since(target),
             unanswered_until=unanswered_until,
--- a/hawthornlead/gateway/engine_orders.py
+++ b/hawthornlead/gateway/engine_orders.py
@@ -12,9 +12,9 @@
 from .engine_calls import EngineCalls
 from .engine_slots import AdapterKey
 from .gateway_metrics import GatewayMetrics
-from .late_orders import LateOrders
 from .ownerships import Ownerships
 from .records import EngineOrder, OrderKind, OrderOutcome, TargetEntry
+from .unacknowledged_orders import UnacknowledgedOrders
 
 # Unanswered orders in a row after which a report is read. Where every answer comes too
 # late, the first one was carried out and all others are refused, however often an owner
@@ -37,7 +37,7 @@
         holder: str,
         events: EventRing,
         metrics: GatewayMetrics,
-        late: LateOrders,
+        late: UnacknowledgedOrders,
     ):
         self._ownerships = ownerships
         self._calls = calls
--- a/hawthornlead/gateway/engine_owners.py
+++ b/hawthornlead/gateway/engine_owners.py
@@ -3,7 +3,7 @@
 Requests of all VMs ask here for adapters and for their prompts' turns. How an order is
 given stands in ``engine_orders``, how an adapter's way is followed in
 ``fetch_trackers``, and what may still come of orders to a former start of the engine
-in ``late_orders``.
+in ``unacknowledged_orders``.
 """
 
 import asyncio
@@ -30,7 +30,6 @@
 from .engine_slots import AdapterKey, AdaptersInUse, EngineSlots, Slot, SlotState
 from .fetch_trackers import FetchTracker, shows_adapter
 from .gateway_metrics import GatewayMetrics
-from .late_orders import LateOrders
 from .load_checks import LoadChecks
 from .ownerships import Ownerships
 from .prompt_pacers import PromptPacer
@@ -45,6 +44,7 @@
 )
 from .slot_queues import SlotRequest
 from .slot_waits import SlotWaits
+from .unacknowledged_orders import UnacknowledgedOrders
 
 # Between tries of a report that can't be had.
 REPORT_RETRY_S = 0.2
@@ -80,7 +80,7 @@
         arrivals: dict[bool, ArrivalTimes],
         events: EventRing,
         metrics: GatewayMetrics,
-        late: LateOrders,
+        late: UnacknowledgedOrders,
         on_changed: Callable[["EngineOwner"], None],
         on_restarted: Callable[[int | None], None],
     ):
--- a/hawthornlead/gateway/engine_reports.py
+++ b/hawthornlead/gateway/engine_reports.py
@@ -17,8 +17,8 @@
 from ..timers import TimerService
 from .engine_calls import EngineCalls
 from .engine_orders import EngineOrders
-from .late_orders import LOOK_S, LateOrders
 from .records import EngineReport, Incarnation
+from .unacknowledged_orders import LOOK_S, UnacknowledgedOrders
 
 # A report this long after an order shows it: reports lag some hundred milliseconds.
 REPORT_LAG_S = 0.25
@@ -40,7 +40,7 @@
         *,
         calls: EngineCalls,
         orders: EngineOrders,
-        late: LateOrders,
+        late: UnacknowledgedOrders,
         timers: TimerService,
         events: EventRing,
         on_restarted: Callable[[int | None], None],
--- a/hawthornlead/gateway/load_checks.py
+++ b/hawthornlead/gateway/load_checks.py
@@ -7,8 +7,8 @@
 from ..errors import ErrorKind, Failure
 from ..timers import TimerService
 from .engine_slots import AdapterKey, AdaptersInUse, EngineSlots, SlotState
-from .late_orders import LateOrders
 from .records import TargetEntry
+from .unacknowledged_orders import UnacknowledgedOrders
 
 # Adapters that an engine fetches at once; it refuses more.
 MAX_ARRIVING = 4
@@ -30,7 +30,7 @@
         target: str,
         slots: EngineSlots,
         in_use: AdaptersInUse,
-        late: LateOrders,
+        late: UnacknowledgedOrders,
         timers: TimerService,
     ):
         self._target = target
--- a/hawthornlead/gateway/ownerships.py
+++ b/hawthornlead/gateway/ownerships.py
@@ -14,7 +14,6 @@
 from ..fleet.fleet_meshes import FleetMesh
 from ..messages.gateways import YieldTarget
 from ..messages.sessions import Done
-from .late_orders import ON_ITS_WAY_S
 from .memberships import Memberships
 from .owner_objects import (
     OWNERS_KIND,
@@ -26,6 +25,7 @@
 )
 from .records import StoredRecord
 from .store_clients import StoreClient
+from .unacknowledged_orders import ON_ITS_WAY_S
 from .vm_leases import VmLease
 
 # How long the VMs further down in an engine's order wait for the one before them.
--- a/hawthornlead/gateway/late_orders.py
+++ b/hawthornlead/gateway/unacknowledged_orders.py
@@ -35,14 +35,14 @@
 ON_ITS_WAY_S = 1.0
 
 
-class LateOrders:
+class UnacknowledgedOrders:
     """The orders of any VM that may still reach one incarnation of an engine.
 
     ``unanswered_until`` is until when orders of before may come, 0 if all of them were
     answered; ``since`` is when this VM first heard of the incarnation. Orders can only
     be of a former start while this one is younger than they are::
 
-        late = LateOrders(timers=timers, since=now, unanswered_until=before)
+        late = UnacknowledgedOrders(timers=timers, since=now, unanswered_until=before)
         late.sent()
         late.answered()
     """
--- a/hawthornlead/tests/fakes_owned_engines.py
+++ b/hawthornlead/tests/fakes_owned_engines.py
@@ -17,7 +17,6 @@
 from hawthornlead.gateway.engine_owners import EngineOwner
 from hawthornlead.gateway.engine_slots import AdapterKey
 from hawthornlead.gateway.gateway_metrics import GatewayMetrics
-from hawthornlead.gateway.late_orders import LateOrders
 from hawthornlead.gateway.owner_objects import UNOWNED
 from hawthornlead.gateway.ownerships import Ownership
 from hawthornlead.gateway.records import (
@@ -31,6 +30,7 @@
     TargetEntry,
 )
 from hawthornlead.gateway.slot_queues import SlotRequest
+from hawthornlead.gateway.unacknowledged_orders import UnacknowledgedOrders
 from hawthornlead.timers import TimerService
 
 SLOTS = 8
@@ -178,7 +178,7 @@
         self.timers = TimerService()
         self.told = []
         self.restarts = []
-        self.owner = self.own(LateOrders(timers=self.timers))
+        self.owner = self.own(UnacknowledgedOrders(timers=self.timers))
 
     def own(self, late):
         """Return an owner of the engine's current start."""
@@ -204,7 +204,7 @@
         former = self.owner
         former.stop()
         self.engine.restart()
-        late = LateOrders(
+        late = UnacknowledgedOrders(
             timers=self.timers,
             since=self.timers.now(),
             unanswered_until=former.unanswered_until,
--- a/hawthornlead/tests/test_engine_orders.py
+++ b/hawthornlead/tests/test_engine_orders.py
@@ -15,9 +15,9 @@
 )
 from hawthornlead.gateway.engine_slots import AdapterKey
 from hawthornlead.gateway.gateway_metrics import GatewayMetrics
-from hawthornlead.gateway.late_orders import LateOrders
 from hawthornlead.gateway.owner_objects import OWNERS_KIND
 from hawthornlead.gateway.records import OrderKind, OrderOutcome, TargetEntry
+from hawthornlead.gateway.unacknowledged_orders import UnacknowledgedOrders
 from hawthornlead.gateway.vm_leases import CLOCK_MARGIN_S, LEASE_S
 
 from .fakes_leases import Fleet
@@ -63,7 +63,7 @@
         holder="a",
         events=EventRing("a", HybridClock(fleet.timers)),
         metrics=GatewayMetrics(CollectorRegistry()),
-        late=LateOrders(timers=fleet.timers),
+        late=UnacknowledgedOrders(timers=fleet.timers),
     )
     orders.take_accepted(0)
     return orders
--- a/hawthornlead/tests/test_late_orders.py
+++ b/hawthornlead/tests/test_unacknowledged_orders.py
@@ -7,8 +7,11 @@
 from hawthornlead.errors import ErrorKind
 from hawthornlead.gateway import engine_reports
 from hawthornlead.gateway.engine_slots import AdapterKey
-from hawthornlead.gateway.late_orders import LATE_ORDER_S, LateOrders
 from hawthornlead.gateway.records import OrderKind, OrderOutcome
+from hawthornlead.gateway.unacknowledged_orders import (
+    LATE_ORDER_S,
+    UnacknowledgedOrders,
+)
 from hawthornlead.timers import ManualTimerService
 
 from .fakes_owned_engines import LOAD_S, SLOTS, Bed, shorten_waits
@@ -22,7 +25,7 @@
     shorten_waits(monkeypatch)
     made = Bed()
     made.engine.started_ms = 1000
-    made.owner = made.own(LateOrders(timers=made.timers))
+    made.owner = made.own(UnacknowledgedOrders(timers=made.timers))
     await made.start()
     yield made
     made.owner.stop()
@@ -190,9 +193,9 @@
     timers = ManualTimerService()
     timers._now = 100.0
     until = timers.now() + LATE_ORDER_S
-    old = LateOrders(timers=timers, since=50.0, unanswered_until=until)
-    young = LateOrders(timers=timers, since=98.0, unanswered_until=until)
-    answered = LateOrders(timers=timers, since=98.0)
+    old = UnacknowledgedOrders(timers=timers, since=50.0, unanswered_until=until)
+    young = UnacknowledgedOrders(timers=timers, since=98.0, unanswered_until=until)
+    answered = UnacknowledgedOrders(timers=timers, since=98.0)
     assert [each.spare_slots for each in (old, young, answered)] == [0, 1, 0]
     # A restart that is seen next inherits what may still come of the claim.
     assert old.unanswered_until == until
@@ -203,7 +206,7 @@
 def test_an_answered_order_leaves_earlier_ones_expected():
     timers = ManualTimerService()
     timers._now = 100.0
-    late = LateOrders(timers=timers)
+    late = UnacknowledgedOrders(timers=timers)
     late.sent()
     late.sent()
     late.answered()
