--- a/hawthornlead/gateway/engine_managers.py
+++ b/hawthornlead/gateway/engine_managers.py
@@ -26,7 +26,6 @@
 from .engine_slots import AdapterKey
 from .gateway_metrics import GatewayMetrics
 from .holding_announcements import HoldingAnnouncements
-from .known_targets import KnownTargets
 from .load_announcements import LoadAnnouncements
 from .memberships import Memberships
 from .ownerships import Ownerships
@@ -39,6 +38,7 @@
 )
 from .slot_queues import SlotRequest
 from .target_loads import TargetLoads
+from .target_tables import TargetTable
 from .unacknowledged_orders import LATE_ORDER_S, UnacknowledgedOrders
 
 CLAIM_EVERY_S = 0.25
@@ -60,7 +60,7 @@
         *,
         memberships: Memberships,
         ownerships: Ownerships,
-        targets: KnownTargets,
+        targets: TargetTable,
         loads: TargetLoads,
         calls: EngineCalls,
         mesh: FleetMesh,
--- a/hawthornlead/gateway/gateway_parts.py
+++ b/hawthornlead/gateway/gateway_parts.py
@@ -22,8 +22,8 @@
 from .engine_calls import EngineCalls
 from .engine_managers import EngineManager
 from .gateway_metrics import GatewayMetrics
-from .known_targets import KnownTargets
-from .leaving_words import LeavingWords
+from .leaving_notices import LeavingNotices
+from .loss_detectors import LossDetector
 from .memberships import Memberships
 from .ownerships import Ownerships
 from .placers import Placer
@@ -31,13 +31,13 @@
 from .routes import RouteTable
 from .run_times import RunTimes
 from .store_clients import StoreClient
+from .target_backoffs import TargetBackoffs
 from .target_connections import TargetConnections
 from .target_healths import TargetHealths
 from .target_limits import TargetLimits
 from .target_loads import TargetLoads
-from .target_losses import TargetLosses
 from .target_probes import TargetProbes
-from .target_rests import TargetRests
+from .target_tables import TargetTable
 from .vm_leases import VmLease
 from .watch_relays import WatchRelays
 from .workspaces import WorkspaceTable
@@ -62,7 +62,7 @@
 class TargetParts(NamedTuple):
     """What this VM knows of targets, its connections, and the engines it orders."""
 
-    targets: KnownTargets
+    targets: TargetTable
     connections: TargetConnections
     loads: TargetLoads
     healths: TargetHealths
@@ -77,17 +77,17 @@
         *,
         core: CoreParts,
         metrics: GatewayMetrics,
-        targets: KnownTargets,
+        targets: TargetTable,
         placer: Placer,
         connections: TargetConnections,
         loads: TargetLoads,
         healths: TargetHealths,
         suspects: Suspects,
         deaths: CrashWatch,
-        losses: TargetLosses,
+        losses: LossDetector,
         limits: TargetLimits,
-        rests: TargetRests,
-        leaving_words: LeavingWords,
+        rests: TargetBackoffs,
+        leaving_notices: LeavingNotices,
         run_times: RunTimes,
         quotas: QuotaLedger,
     ):
@@ -107,7 +107,7 @@
         self.losses = losses
         self.limits = limits
         self.rests = rests
-        self.leaving_words = leaving_words
+        self.leaving_notices = leaving_notices
         self.run_times = run_times
         self.quotas = quotas
         self.configuration: Configuration | None = None
@@ -213,7 +213,7 @@
 ) -> TargetParts:
     """Build what knows targets and orders those that this VM owns."""
     timers, memberships = core.timers, coordination.memberships
-    targets = KnownTargets(memberships=memberships, timers=timers, events=core.events)
+    targets = TargetTable(memberships=memberships, timers=timers, events=core.events)
     connections = TargetConnections(timers=timers)
     loads = TargetLoads(timers=timers, incarnation=targets.incarnation)
     room = EngineManager(
@@ -249,7 +249,7 @@
         timers=timers,
         events=core.events,
     )
-    losses = TargetLosses(
+    losses = LossDetector(
         targets=known.targets,
         probes=TargetProbes(
             connections=known.connections, timers=timers, metrics=metrics
@@ -273,7 +273,7 @@
         "Targets that name a limit of requests a second",
         lambda: len(limits.named),
     )
-    rests = TargetRests(timers=timers, events=core.events)
+    rests = TargetBackoffs(timers=timers, events=core.events)
     run_times = RunTimes()
     placer = Placer(
         data_centre=core.settings["DATA_CENTRE"],
@@ -315,7 +315,7 @@
         losses=losses,
         limits=limits,
         rests=rests,
-        leaving_words=LeavingWords(targets=known.targets, mesh=mesh),
+        leaving_notices=LeavingNotices(targets=known.targets, mesh=mesh),
         run_times=run_times,
         quotas=coordination.quotas,
     )
