--- a/hawthornlead/gateway/engine_owners.py
+++ b/hawthornlead/gateway/engine_owners.py
@@ -2,8 +2,8 @@
 
 Requests of all VMs ask here for adapters and for their prompts' turns. How an order is
 given stands in ``engine_orders``, how an adapter's way is followed in
-``fetch_followers``, and what may still come of orders to a former start of the engine
-in ``late_orders``.
+``fetch_trackers``, and what may still come of orders to a former start of the engine
+in ``unacknowledged_orders``.
 """
 
 import asyncio
@@ -28,12 +28,11 @@
 from .engine_orders import EngineOrders
 from .engine_reports import REPORT_LAG_S, EngineReports
 from .engine_slots import AdapterKey, AdaptersInUse, EngineSlots, Slot, SlotState
-from .fetch_followers import FetchFollower, shows_adapter
+from .fetch_trackers import FetchTracker, shows_adapter
 from .gateway_metrics import GatewayMetrics
-from .late_orders import LateOrders
 from .load_checks import LoadChecks
 from .ownerships import Ownerships
-from .prompt_paces import PromptPace
+from .prompt_pacers import PromptPacer
 from .recent_adapters import recently_kept
 from .records import (
     EngineReport,
@@ -43,8 +42,9 @@
     OrderOutcome,
     TargetEntry,
 )
-from .slot_queues import SlotWanted
+from .slot_queues import SlotRequest
 from .slot_waits import SlotWaits
+from .unacknowledged_orders import UnacknowledgedOrders
 
 # Between tries of a report that can't be had.
 REPORT_RETRY_S = 0.2
@@ -63,7 +63,7 @@
                             timers=timers, holder="edge-1", late=late,
                             on_changed=publish, on_restarted=replace)
         owner.start()
-        wanted = SlotWanted(AdapterKey("m", "a3"), rank=0, due_at=now, until=now)
+        wanted = SlotRequest(AdapterKey("m", "a3"), rank=0, due_at=now, until=now)
         loaded = await owner.load(wanted, version=2, wait_s=1.0)
     """
 
@@ -80,7 +80,7 @@
         arrivals: dict[bool, ArrivalTimes],
         events: EventRing,
         metrics: GatewayMetrics,
-        late: LateOrders,
+        late: UnacknowledgedOrders,
         on_changed: Callable[["EngineOwner"], None],
         on_restarted: Callable[[int | None], None],
     ):
@@ -99,7 +99,7 @@
             late=late,
             timers=timers,
         )
-        self._pace = PromptPace()
+        self._pace = PromptPacer()
         self._orders = EngineOrders(
             ownerships=ownerships,
             calls=calls,
@@ -118,7 +118,7 @@
             events=events,
             on_restarted=on_restarted,
         )
-        self._fetches = FetchFollower(
+        self._fetches = FetchTracker(
             slots=self._slots,
             arrivals=arrivals,
             timers=timers,
@@ -227,7 +227,7 @@
         self._slot_waits.note_freed()
 
     async def load(
-        self, wanted: SlotWanted, version: int, wait_s: float
+        self, wanted: SlotRequest, version: int, wait_s: float
     ) -> Result[int, Failure]:
         """Make an adapter ready and return its version; see ``AdapterRequests``."""
         return await self._requests.load(wanted, version, wait_s)
