--- a/hawthornlead/gateway/target_attempts.py
+++ b/hawthornlead/gateway/target_attempts.py
@@ -289,8 +289,8 @@
         """
         if head.status == ANOTHER_ID or not self._parts.targets.is_current(entry):
             return
-        if head.signs.rest_s:
-            self._parts.rests.note(entry.target, head.signs.rest_s)
+        if head.signs.backoff_s:
+            self._parts.rests.note(entry.target, head.signs.backoff_s)
         if head.signs.leaving:
             self._parts.leaving_notices.note(entry.incarnation)
         limit_per_s = head.signs.limit_per_s
--- a/hawthornlead/platform/__init__.py
+++ b/hawthornlead/platform/__init__.py
@@ -1,7 +1,7 @@
-"""The users' platform on the wire: names of headers, fields, paths, and nothing else.
+"""The platform's wire format: names of headers, fields and paths.
 
 Each module decodes one thing into the records of ``hawthornlead.gateway.records`` or
-encodes it again. Here nothing is decided and nothing is kept.
+encodes it. The modules keep no state and make no decisions.
 
 May import: gateway.records.
 """
--- a/hawthornlead/platform/configurations.py
+++ b/hawthornlead/platform/configurations.py
@@ -1,4 +1,4 @@
-"""The operator's configuration and the versions of adapters, as the store has them."""
+"""Decodes the operator's configuration and adapter versions from store objects."""
 
 from typing import Any
 
@@ -20,46 +20,46 @@
 from .fields import as_text, boolean, items, mapping, number, text, whole_number
 from .keys import is_key, key_digest
 
-# What holds where the operator's configuration leaves a limit out.
+# Limits that apply where the operator's configuration names none.
 DEFAULT_HEADER_BYTES = 16384
 DEFAULT_BODY_BYTES = 4 << 20
 DEFAULT_IDLE_MS = 15000
 
 
 def read_configuration(record: StoredRecord) -> Configuration:
-    """Return the configuration in an object; raises ``ValueError`` if it is none."""
+    """Return the configuration in an object; raises ``ValueError`` if it is invalid."""
     try:
-        body = _given(record.spec, "the configuration")
+        body = _present_fields(record.spec, "the configuration")
         return Configuration(
             version=whole_number(body, "version"),
             routes=tuple([_route(route) for route in items(body, "routes")]),
             services=tuple([_service(each) for each in items(body, "services")]),
-            limits=_limits(_given(body.get("limits", {}), "limits")),
+            limits=_limits(_present_fields(body.get("limits", {}), "limits")),
             workspaces=_workspaces(body),
         )
     except ValueError as error:
-        raise ValueError(f"no configuration: {error}") from error
+        raise ValueError(f"invalid configuration: {error}") from error
 
 
 def read_adapter_version(record: StoredRecord) -> AdapterVersion:
-    """Return the adapter version in an object; raises ``ValueError`` if it is none."""
+    """Return the adapter version in an object; raises ``ValueError`` if invalid."""
     try:
         body = mapping(record.spec, "the version")
         return AdapterVersion(
             text(body, "model"), text(body, "adapter"), whole_number(body, "version")
         )
     except ValueError as error:
-        raise ValueError(f"no adapter version: {error}") from error
+        raise ValueError(f"invalid adapter version: {error}") from error
 
 
-def _given(value: Any, what: str) -> dict[str, Any]:
-    """Return the fields that the operator gave; null stands for one left out."""
+def _present_fields(value: Any, what: str) -> dict[str, Any]:
+    """Return the fields of an object that aren't null; null means not given."""
     body = mapping(value, what)
     return {field: each for field, each in body.items() if each is not None}
 
 
 def _route(value: Any) -> Route:
-    body = _given(value, "a route")
+    body = _present_fields(value, "a route")
     return Route(
         name=text(body, "name"),
         host=text(body, "host").lower(),
@@ -88,8 +88,8 @@
 
 
 def _service(value: Any) -> ServiceSpec:
-    body = _given(value, "a service")
-    engine = _given(body.get("engine", {}), "an engine")
+    body = _present_fields(value, "a service")
+    engine = _present_fields(body.get("engine", {}), "an engine")
     return ServiceSpec(
         name=text(body, "name"),
         health_path=text(body, "healthPath", "/health"),
@@ -102,8 +102,8 @@
     return EngineSpec(
         batch=whole_number(body, "slots"),
         kv_tokens=whole_number(body, "kvTokens"),
-        # The same name holds a model's size where it stands in a model, and the
-        # memory of the whole engine here.
+        # In an engine this field is the memory of the whole engine, in a model the
+        # size of the model.
         memory_mb=number(body, "weightsMb"),
         adapter_slots=whole_number(body, "adapterSlots", 0),
         model_loads_per_s=number(body, "loadsPerS", 0) or 1.0,
@@ -112,7 +112,7 @@
 
 
 def _model(value: Any) -> ModelSpec:
-    body = _given(value, "a model")
+    body = _present_fields(value, "a model")
     return ModelSpec(
         name=text(body, "name"),
         weights_mb=number(body, "weightsMb"),
@@ -131,7 +131,7 @@
 
 
 def _workspaces(body: dict) -> tuple[Workspace, ...] | None:
-    """Return the workspaces, None where the configuration speaks of none."""
+    """Return the workspaces, None if the configuration has no ``tenants``."""
     if "tenants" not in body:
         return None
     workspaces = tuple([_workspace(value) for value in items(body, "tenants")])
@@ -139,7 +139,7 @@
     holders: dict[bytes, str] = {}
     for workspace in workspaces:
         if workspace.name in names:
-            raise ValueError(f"two tenants are named {workspace.name}")
+            raise ValueError(f"two tenants have the name {workspace.name}")
         names.add(workspace.name)
         for digest in workspace.key_digests:
             other = holders.setdefault(digest, workspace.name)
@@ -149,22 +149,22 @@
 
 
 def _workspace(value: Any) -> Workspace:
-    body = _given(value, "a tenant")
+    body = _present_fields(value, "a tenant")
     name = text(body, "name")
-    # The name goes out in a header.
+    # The name is sent in a header, so it must be printable ASCII without blanks.
     if not is_key(name):
-        raise ValueError("a tenant's name is no word")
+        raise ValueError("a tenant's name is not a single word")
     digests = set()
     for key in items(body, "apiKeys", []):
         if not is_key(as_text(key, f"a key of {name}")):
-            raise ValueError(f"a key of {name} has characters that no key has")
+            raise ValueError(f"a key of {name} has characters that a key must not have")
         digests.add(key_digest(key))
     priority = whole_number(body, "priority") if "priority" in body else None
     return Workspace(name, frozenset(digests), priority, _quota(body, name))
 
 
 def _quota(body: dict, name: str) -> Quota | None:
-    """Return a tenant's quota, None where it has no limit."""
+    """Return a tenant's quota, None if it has no limit."""
     rate = number(body, "ratePerS", 0)
     burst = number(body, "burst", 0)
     if rate < 0 or burst < 0:
--- a/hawthornlead/platform/entries.py
+++ b/hawthornlead/platform/entries.py
@@ -1,4 +1,4 @@
-"""What callers and the platform ask a VM: which addresses to use, is it ready."""
+"""The paths of a VM's entry interface: addresses for callers, and readiness."""
 
 import json
 
@@ -7,5 +7,5 @@
 
 
 def addresses_body(addresses: tuple[str, ...], keep_s: float) -> bytes:
-    """Return the answer to a caller that asks where to connect."""
+    """Return the JSON body that tells a caller which addresses to use, and how long."""
     return json.dumps({"addresses": list(addresses), "ttlS": keep_s}).encode()
--- a/hawthornlead/platform/fields.py
+++ b/hawthornlead/platform/fields.py
@@ -1,7 +1,7 @@
-"""Fields of JSON that others wrote: of the type they must have, or ``ValueError``.
+"""Reads fields of untrusted JSON and checks their types; raises ``ValueError``.
 
-What stands in the platform's store may come from any writer. Nothing else than
-``ValueError`` leaves these functions, whatever the bytes::
+Objects in the platform's store may come from any writer. Whatever the bytes, these
+functions raise nothing other than ``ValueError``::
 
     body = decode(b'{"slots": 8}')
     whole_number(body, "slots", least=1)
@@ -13,42 +13,44 @@
 import re
 from typing import Any
 
-# Integers of more than 63 bits are no numbers to count by, and no message between VMs
-# can carry them.
-MOST_WHOLE = 2**63 - 1
-MOST_DIGITS = 20
-# The configuration, the deepest object that is used, has eight levels.
-MOST_DEPTH = 32
-# Python's parser gives up at about 1,000 levels, wherever they are in a body.
-CUT_DEPTH = 200
-MOST_PORT = 65535
+# Messages between VMs cannot carry integers of more than 63 bits, and no count needs
+# them.
+MAX_WHOLE_NUMBER = 2**63 - 1
+MAX_DIGITS = 20
+# The deepest object in use, the configuration, has eight levels.
+MAX_DEPTH = 32
+# Python's parser fails at about 1,000 levels anywhere in a body. Only then is the body
+# cut to this depth before it is parsed again.
+MAX_PARSED_DEPTH = 200
+MAX_PORT = 65535
 _REQUIRED: Any = object()
 _TOKENS = re.compile(r'"(?:[^"\\]|\\.)*"|[\[\]{}]', re.DOTALL)
 
 
 def decode(body: bytes | str) -> Any:
-    """Return the JSON in a body, of which parts may be unreadable.
+    """Parse a JSON body, and keep what is readable if parts of it aren't.
 
-    One object that can't be read must not cost the others in the same body. Bytes that
-    aren't UTF-8 become lone surrogates, numbers that aren't finite or that Python does
-    not parse become infinite, and levels below ``CUT_DEPTH`` become null. The
-    functions below take none of these; ``is_readable`` finds the first and the last.
+    One unreadable object must not make the others in the same body unusable. Bytes
+    that aren't UTF-8 become lone surrogates. Numbers that aren't finite, or that Python
+    does not parse, become infinite. In a body that is too deep for the parser, levels
+    below ``MAX_PARSED_DEPTH`` become null. The functions below reject surrogates and
+    infinite numbers; ``is_readable`` detects surrogates and excessive depth.
     """
     if isinstance(body, bytes):
         body = body.decode("utf-8", "surrogateescape")
     try:
         return _parse(body)
     except RecursionError:
-        return _parse(_cut(body))
+        return _parse(_truncate_depth(body))
 
 
 def is_readable(value: Any, depth: int = 0) -> bool:
-    """Whether a JSON value has no text that isn't Unicode, and isn't too deep."""
+    """Whether all texts of a JSON value are Unicode and it isn't too deep."""
     if isinstance(value, str):
         return _is_unicode(value)
     if not isinstance(value, dict | list):
         return True
-    if depth >= MOST_DEPTH:
+    if depth >= MAX_DEPTH:
         return False
     if isinstance(value, list):
         return all(is_readable(item, depth + 1) for item in value)
@@ -59,63 +61,63 @@
 
 
 def mapping(value: Any, what: str) -> dict[str, Any]:
-    """Return a value that must be an object."""
+    """Return the value if it is an object."""
     if not isinstance(value, dict):
-        raise ValueError(f"{what} is no object")
+        raise ValueError(f"{what} is not an object")
     return value
 
 
 def items(body: dict, field: str, default: list = _REQUIRED) -> list:
-    """Return a field that must be a list."""
-    value = _value(body, field, default)
+    """Return a field whose value must be a list."""
+    value = _field_value(body, field, default)
     if not isinstance(value, list):
-        raise ValueError(f"{field} is no list")
+        raise ValueError(f"{field} is not a list")
     return value
 
 
 def text(body: dict, field: str, default: str = _REQUIRED) -> str:
-    """Return a field that must be a text."""
-    value = _value(body, field, default)
+    """Return a field whose value must be a text."""
+    value = _field_value(body, field, default)
     return as_text(value, field)
 
 
 def as_text(value: Any, what: str) -> str:
-    """Return a value that must be a text."""
+    """Return the value if it is a text in Unicode."""
     if not isinstance(value, str) or not _is_unicode(value):
-        raise ValueError(f"{what} is no text")
+        raise ValueError(f"{what} is not a text")
     return value
 
 
 def boolean(body: dict, field: str, default: bool = _REQUIRED) -> bool:
-    """Return a field that must be true or false."""
-    value = _value(body, field, default)
+    """Return a field whose value must be true or false."""
+    value = _field_value(body, field, default)
     if not isinstance(value, bool):
         raise ValueError(f"{field} is neither true nor false")
     return value
 
 
 def whole_number(
-    body: dict, field: str, default: int = _REQUIRED, *, least: int = 0
+    body: dict, field: str, default: int = _REQUIRED, *, minimum: int = 0
 ) -> int:
-    """Return a field that must be a whole number of at least ``least``."""
-    value = _value(body, field, default)
-    # True and false are integers in Python.
-    if type(value) is not int or not least <= value <= MOST_WHOLE:
-        raise ValueError(f"{field} is no whole number from {least} on")
+    """Return a field whose value must be a whole number of at least ``minimum``."""
+    value = _field_value(body, field, default)
+    # ``bool`` is a subclass of ``int``, so ``isinstance`` would accept true and false.
+    if type(value) is not int or not minimum <= value <= MAX_WHOLE_NUMBER:
+        raise ValueError(f"{field} is not a whole number of at least {minimum}")
     return value
 
 
 def number(body: dict, field: str, default: float = _REQUIRED) -> float:
-    """Return a field that must be a finite number."""
-    value = _value(body, field, default)
-    # The bound also keeps float() from integers that it can't turn into one.
-    if type(value) not in (int, float) or not abs(value) <= MOST_WHOLE:
-        raise ValueError(f"{field} is no finite number")
+    """Return a field whose value must be a finite number."""
+    value = _field_value(body, field, default)
+    # float() raises OverflowError on larger integers.
+    if type(value) not in (int, float) or not abs(value) <= MAX_WHOLE_NUMBER:
+        raise ValueError(f"{field} is not a finite number")
     return float(value)
 
 
 def ip_address(body: dict, field: str) -> str:
-    """Return a field that must be IP:PORT."""
+    """Return a field whose value must be IP:PORT."""
     value = address(body, field)
     host, _, _ = value.rpartition(":")
     ipaddress.ip_address(host.removeprefix("[").removesuffix("]"))
@@ -123,29 +125,29 @@
 
 
 def address(body: dict, field: str) -> str:
-    """Return a field that must be HOST:PORT."""
+    """Return a field whose value must be HOST:PORT."""
     value = text(body, field)
     host, _, port = value.rpartition(":")
-    if not host or not 1 <= _digits(port, field) <= MOST_PORT:
-        raise ValueError(f"{field} is no address")
+    if not host or not 1 <= _parse_digits(port, field) <= MAX_PORT:
+        raise ValueError(f"{field} is not an address of the form HOST:PORT")
     return value
 
 
 def versioned_name(value: Any, what: str) -> tuple[str, int]:
-    """Return name and version of a text that must be NAME@VERSION."""
+    """Return the name and version in a text that must be NAME@VERSION."""
     name, _, version = as_text(value, what).partition("@")
     if not name:
         raise ValueError(f"{what} has no name")
-    return name, _digits(version, what)
+    return name, _parse_digits(version, what)
 
 
-def _digits(digits: str, what: str) -> int:
-    if not digits.isascii() or not digits.isdigit() or len(digits) >= MOST_DIGITS:
-        raise ValueError(f"{what} has no number where one must be")
+def _parse_digits(digits: str, what: str) -> int:
+    if not digits.isascii() or not digits.isdigit() or len(digits) >= MAX_DIGITS:
+        raise ValueError(f"{what} does not end in a valid number")
     return int(digits)
 
 
-def _value(body: dict, field: str, default: Any) -> Any:
+def _field_value(body: dict, field: str, default: Any) -> Any:
     value = body.get(field, default)
     if value is _REQUIRED:
         raise ValueError(f"{field} is missing")
@@ -163,26 +165,26 @@
 
 
 def _parse(body: str) -> Any:
-    return json.loads(body, parse_int=_integer, parse_constant=lambda _: math.inf)
+    return json.loads(body, parse_int=_parse_integer, parse_constant=lambda _: math.inf)
 
 
-def _integer(digits: str) -> float:
-    return int(digits) if len(digits) <= MOST_DIGITS else math.inf
+def _parse_integer(digits: str) -> float:
+    return int(digits) if len(digits) <= MAX_DIGITS else math.inf
 
 
-def _cut(body: str) -> str:
-    """Return JSON in which null stands for all that lies below ``CUT_DEPTH``."""
+def _truncate_depth(body: str) -> str:
+    """Replace each value nested below ``MAX_PARSED_DEPTH`` by null."""
     kept = []
     depth = start = 0
     for token in _TOKENS.finditer(body):
         if token.group() in ("[", "{"):
             depth += 1
-            if depth == CUT_DEPTH + 1:
+            if depth == MAX_PARSED_DEPTH + 1:
                 kept += [body[start : token.start()], "null"]
         elif token.group() in ("]", "}"):
             depth -= 1
-            if depth == CUT_DEPTH:
+            if depth == MAX_PARSED_DEPTH:
                 start = token.end()
-    if depth <= CUT_DEPTH:
+    if depth <= MAX_PARSED_DEPTH:
         kept.append(body[start:])
     return "".join(kept)
--- a/hawthornlead/platform/headers.py
+++ b/hawthornlead/platform/headers.py
@@ -1,4 +1,4 @@
-"""Headers of requests and answers, as the platform spells them."""
+"""The platform's HTTP headers: decoded from requests and answers, and set on them."""
 
 import math
 from typing import NamedTuple
@@ -25,7 +25,7 @@
 LENGTH_HINT = "Length-Hint"
 WORKSPACE = "Tenant-Id"
 
-# Headers that concern one connection only, and those that frame a body anew.
+# Headers that apply to one connection only, or that describe how a body is framed.
 HOP_BY_HOP = frozenset(
     name.lower()
     for name in (
@@ -42,7 +42,7 @@
         "Expect",
     )
 )
-# Headers that only the system may set towards a target.
+# Headers of a request to a target that only this system may set.
 SYSTEM_ONLY = frozenset(
     name.lower()
     for name in (
@@ -58,18 +58,23 @@
         WORKSPACE,
     )
 )
-KEY = AUTHORIZATION.lower()
-MOST_DIGITS = 9
+KEY_HEADER = AUTHORIZATION.lower()
+# A longer number is no plausible count and is read as absent.
+MAX_DIGITS = 9
 
 
 class AnswerMetadata(NamedTuple):
-    """What the headers of a target's answer say beside its content.
-
-    ``idle_s`` is how long the target keeps the connection open, None if unsaid;
-    ``target`` is the id that it gives itself, empty if it gives none. ``limit_per_s``
-    is how many requests a second it takes from all VMs together, None if unlimited.
-    One that is ``leaving`` takes no new work. ``rest_s`` is how long one that turns a
-    request away wants nothing more from this VM, 0 if it doesn't say.
+    """What the headers of a target's answer say about the answer and the target.
+
+    ``request_id`` is the request that it answers. ``sealed`` means that the target
+    marked the answer as its own, ``not_run`` that it did not execute the request,
+    and ``closes`` that it closes the connection after the answer.
+    ``idle_s`` is how long the target keeps an idle connection open, None if the answer
+    doesn't say. ``target`` is the target's own id, empty if the answer has none.
+    ``limit_per_s`` is how many requests a second the target accepts from all VMs
+    together, None if unlimited. A ``leaving`` target accepts no new work.
+    ``backoff_s`` is how long a target that refused a request asks this VM to send
+    nothing more, 0 if it doesn't say.
     """
 
     request_id: str
@@ -80,31 +85,31 @@
     target: str
     limit_per_s: float | None = None
     leaving: bool = False
-    rest_s: float = 0.0
+    backoff_s: float = 0.0
 
 
 def read_caller_request(headers: HTTPHeaders) -> CallerRequest:
-    """Return what the headers say; values that make no sense count as absent."""
+    """Read the headers of a caller's request; invalid values count as absent."""
     model, _, adapter = headers.get(MODEL, "").partition("/")
     tokens = headers.get(TOKENS, "")
-    prompt, _, most = tokens.partition(",")
-    prompt_tokens, max_tokens = _integer(prompt), _integer(most)
+    prompt, _, limit = tokens.partition(",")
+    prompt_tokens, max_tokens = _parse_integer(prompt), _parse_integer(limit)
     return CallerRequest(
         request_id=headers.get(REQUEST_ID, ""),
-        deadline_ms=_number(headers.get(DEADLINE_MS)),
+        deadline_ms=_parse_number(headers.get(DEADLINE_MS)),
         model=model,
         adapter=adapter,
         prompt_tokens=prompt_tokens,
         max_tokens=max_tokens,
-        likely_tokens=_integer(headers.get(LENGTH_HINT, "")) or max_tokens,
+        likely_tokens=_parse_integer(headers.get(LENGTH_HINT, "")) or max_tokens,
         last_event=headers.get(LAST_EVENT, ""),
         key_digest=read_key_digest(headers),
-        tells_tokens=_is_whole(prompt) and _is_whole(most),
+        tells_tokens=_is_whole_number(prompt) and _is_whole_number(limit),
     )
 
 
 def request_headers(
-    given: HTTPHeaders,
+    caller_headers: HTTPHeaders,
     *,
     deadline_ms: float,
     target: str,
@@ -115,15 +120,16 @@
 ) -> HTTPHeaders:
     """Return the headers for a target: the caller's, and those the system sets.
 
-    An empty ``last_event`` leaves the caller's. Where callers are ``keyed`` no target
-    is shown a key; it is told the ``workspace`` in its place, if there is one.
+    With an empty ``last_event`` the caller's own header is kept. Where callers are
+    ``keyed`` the key is not forwarded to the target, which gets the ``workspace``
+    instead if there is one.
     """
     headers = HTTPHeaders()
-    for name, value in given.get_all():
+    for name, value in caller_headers.get_all():
         lowered = name.lower()
         if lowered in HOP_BY_HOP or lowered in SYSTEM_ONLY:
             continue
-        if keyed and lowered == KEY:
+        if keyed and lowered == KEY_HEADER:
             continue
         headers.add(name, value)
     if workspace:
@@ -136,17 +142,17 @@
     return headers
 
 
-def answer_headers(given: HTTPHeaders) -> HTTPHeaders:
-    """Return the headers of a target's answer that concern its caller."""
+def answer_headers(target_headers: HTTPHeaders) -> HTTPHeaders:
+    """Return the headers of a target's answer that are forwarded to the caller."""
     headers = HTTPHeaders()
-    for name, value in given.get_all():
+    for name, value in target_headers.get_all():
         if name.lower() not in HOP_BY_HOP:
             headers.add(name, value)
     return headers
 
 
 def refusal_headers(request_id: str, retry_after_s: float | None) -> HTTPHeaders:
-    """Return the headers of an answer that the system gives by itself."""
+    """Return the headers of an answer that this system generates itself."""
     headers = HTTPHeaders({"Content-Type": "text/plain"})
     if request_id:
         headers[REQUEST_ID] = request_id
@@ -156,60 +162,60 @@
 
 
 def control_headers(target: str) -> HTTPHeaders:
-    """Return the headers of a call to a target's own interface."""
+    """Return the headers of a call to a target's report or order interface."""
     headers = HTTPHeaders({"Content-Type": "application/json"})
     headers[EXPECT_TARGET] = target
     return headers
 
 
 def read_answer_metadata(status: int, headers: HTTPHeaders) -> AnswerMetadata:
-    """Return what a target says of its answer and of the connection."""
+    """Read the headers of a target's answer."""
     return AnswerMetadata(
         request_id=headers.get(REQUEST_ID, ""),
         sealed=SEAL in headers,
         not_run=NOT_RUN in headers or status == 421,
         closes=headers.get("Connection", "").lower() == "close",
-        idle_s=_keep_alive(headers.get("Keep-Alive", "")),
+        idle_s=_keep_alive_timeout_s(headers.get("Keep-Alive", "")),
         target=headers.get(TARGET_ID, ""),
-        limit_per_s=_amount(headers.get(LIMIT)),
+        limit_per_s=_parse_amount(headers.get(LIMIT)),
         leaving=headers.get(LEAVING, "").strip() == "1",
-        rest_s=_rest(status, headers),
+        backoff_s=_backoff_s(status, headers),
     )
 
 
-def _rest(status: int, headers: HTTPHeaders) -> float:
+def _backoff_s(status: int, headers: HTTPHeaders) -> float:
     if status != 503:
         return 0.0
-    return _amount(headers.get(RETRY_AFTER)) or 0.0
+    return _parse_amount(headers.get(RETRY_AFTER)) or 0.0
 
 
-def _keep_alive(text: str) -> float | None:
+def _keep_alive_timeout_s(text: str) -> float | None:
     for part in text.split(","):
         name, _, value = part.strip().partition("=")
         if name.strip().lower() == "timeout":
-            return _number(value)
+            return _parse_number(value)
     return None
 
 
-def _amount(text: str | None) -> float | None:
-    """Return a number that counts something: neither negative nor without end."""
-    number = _number(text)
+def _parse_amount(text: str | None) -> float | None:
+    """Return a finite number that is not negative, else None."""
+    number = _parse_number(text)
     if number is None or not math.isfinite(number) or number < 0:
         return None
     return number
 
 
-def _integer(text: str) -> int:
-    return int(text) if _is_whole(text) else 0
+def _parse_integer(text: str) -> int:
+    return int(text) if _is_whole_number(text) else 0
 
 
-def _is_whole(text: str) -> bool:
-    """Whether a text is a whole number, of no more digits than any count has."""
+def _is_whole_number(text: str) -> bool:
+    """Whether a text is a whole number of at most ``MAX_DIGITS`` digits."""
     text = text.strip()
-    return text.isascii() and text.isdigit() and len(text) <= MOST_DIGITS
+    return text.isascii() and text.isdigit() and len(text) <= MAX_DIGITS
 
 
-def _number(text: str | None) -> float | None:
+def _parse_number(text: str | None) -> float | None:
     try:
         return float(text) if text else None
     except ValueError:
--- a/hawthornlead/platform/keys.py
+++ b/hawthornlead/platform/keys.py
@@ -1,6 +1,6 @@
-"""Callers' keys: how a request carries one, and the digest by which it is known.
+"""Callers' API keys: read from a request, and identified by their digests.
 
-Keys themselves are neither kept nor passed on; only their digests leave this module::
+Keys are neither stored nor forwarded; only their digests leave this module::
 
     key_digest("f8fubwsdv6dc") == read_key_digest(headers)
 """
@@ -11,24 +11,24 @@
 
 AUTHORIZATION = "Authorization"
 SCHEME = "token"
-# A longer text is no key, and isn't hashed.
-MOST_KEY_CHARACTERS = 512
+# A longer text is not a valid key and isn't hashed.
+MAX_KEY_CHARACTERS = 512
 
 
 def key_digest(key: str) -> bytes:
-    """Return the digest of a key."""
+    """Return the SHA-256 digest of a key."""
     return hashlib.sha256(key.encode()).digest()
 
 
 def is_key(text: str) -> bool:
-    """Whether a text can be a key: printable ASCII without blanks, not too long."""
-    if not text or len(text) > MOST_KEY_CHARACTERS or not text.isascii():
+    """Whether a text is printable ASCII without blanks and not too long for a key."""
+    if not text or len(text) > MAX_KEY_CHARACTERS or not text.isascii():
         return False
     return text.isprintable() and " " not in text
 
 
 def read_key_digest(headers: HTTPHeaders) -> bytes:
-    """Return the digest of a request's key, empty if it has no single, readable one."""
+    """Return the digest of a request's key, empty without exactly one valid key."""
     given = headers.get_list(AUTHORIZATION)
     if len(given) != 1:
         return b""
--- a/hawthornlead/platform/objects.py
+++ b/hawthornlead/platform/objects.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's store: paths, and objects of a kind."""
+"""Calls of the platform's store: their paths, and the objects in their answers."""
 
 import json
 from typing import Any
@@ -29,13 +29,13 @@
 
 
 def list_path(kind: str, after: str = "") -> str:
-    """Return the path that lists a kind, from the name ``after`` on."""
+    """Return the path that lists the objects of a kind after the name ``after``."""
     path = "/v1/objects/" + quote(kind, safe="")
     return f"{path}?after={quote(after, safe='')}" if after else path
 
 
 def watch_path(kind: str, revision: int, wait_s: float) -> str:
-    """Return the path that waits for changes of a kind after a revision."""
+    """Return the path that waits up to ``wait_s`` for changes after a revision."""
     return f"{list_path(kind)}?watch={revision}&waitMs={int(wait_s * 1000)}"
 
 
@@ -45,12 +45,12 @@
 
 
 def stale_object_path(kind: str, name: str) -> str:
-    """Return the path of one object as it was seconds ago, at a tenth of the price."""
+    """Return the path of one object, seconds old, at a tenth of the cost of a read."""
     return f"{object_path(kind, name)}?allowStale=1"
 
 
 def object_body(name: str, spec: dict, revision: int | None) -> dict[str, Any]:
-    """Return the body that creates an object, or replaces it at a revision."""
+    """Return the body that creates an object, or replaces the one at ``revision``."""
     metadata: dict[str, Any] = {"name": name}
     if revision is not None:
         metadata["revision"] = revision
@@ -58,7 +58,7 @@
 
 
 def read_record(body: Any) -> StoredRecord:
-    """Return one object of the store; ``ValueError`` if it has no name or revision."""
+    """Decode one object; raises ``ValueError`` if it has no name or revision."""
     body = mapping(body, "the object")
     metadata = mapping(body.get("metadata"), "metadata")
     name = text(metadata, "name")
@@ -68,14 +68,14 @@
     return StoredRecord(
         name=name,
         revision=whole_number(metadata, "revision"),
-        spec=_content(spec),
-        status=_content(status),
+        spec=_readable_content(spec),
+        status=_readable_content(status),
         unreadable=_is_unreadable(spec) or (not spec and _is_unreadable(status)),
     )
 
 
 def read_page(body: Any) -> StorePage:
-    """Return one page of a listing, without the objects that have no name."""
+    """Decode one page of a listing; objects without a name are skipped and counted."""
     body = mapping(body, "the page")
     records = []
     skipped = 0
@@ -89,7 +89,7 @@
 
 
 def read_changes(body: Any) -> StoreChanges:
-    """Return what a watch told, without the objects that have no name."""
+    """Decode the answer of a watch; objects without a name are skipped and counted."""
     body = mapping(body, "the watch's answer")
     events = []
     skipped = 0
@@ -102,30 +102,30 @@
 
 
 def content_body(record: StoredRecord) -> str:
-    """Return what an object holds, for another VM; ``read_content`` reads it."""
+    """Encode an object's content for another VM, which reads it by ``read_content``."""
     if record.unreadable:
         return json.dumps(None)
     return json.dumps([record.spec, record.status])
 
 
 def read_content(name: str, revision: int, body: str) -> StoredRecord:
-    """Return the object of which another VM told; it is unreadable if the body is."""
+    """Decode an object that another VM encoded; an invalid body makes it unreadable."""
     try:
         spec, status = decode(body)
-        told = {"metadata": {"name": name, "revision": revision}}
-        return read_record({**told, "spec": spec, "status": status})
+        metadata = {"name": name, "revision": revision}
+        return read_record({"metadata": metadata, "spec": spec, "status": status})
     except (TypeError, ValueError):
-        # Not a pair: the other VM couldn't read it either.
+        # The body isn't a pair: the other VM couldn't read the object either.
         return StoredRecord(name, revision, None, None, unreadable=True)
 
 
 def vm_spec(record: VmRecord) -> dict:
-    """Return the content under which a VM registers itself."""
+    """Encode the content of the object by which a VM registers itself."""
     return record._asdict()
 
 
 def read_vm(record: StoredRecord) -> VmRecord:
-    """Return the VM that registered itself in an object; ``ValueError`` if none did."""
+    """Decode the registration of a VM; raises ``ValueError`` if it is invalid."""
     try:
         body = mapping(record.spec, "the entry")
         vm = VmRecord(
@@ -137,9 +137,9 @@
             leaving=boolean(body, "leaving"),
         )
     except ValueError as error:
-        raise ValueError(f"no VM: {error}") from error
+        raise ValueError(f"invalid VM registration: {error}") from error
     if vm.vm != record.name:
-        raise ValueError("no VM: the object has another VM's name")
+        raise ValueError(f"invalid VM registration: {record.name} holds VM {vm.vm}")
     return vm
 
 
@@ -148,9 +148,9 @@
     return StoreEvent(read_record(body.get("object")), bool(body.get("deleted")))
 
 
-def _content(value: Any) -> dict | None:
+def _readable_content(value: Any) -> dict | None:
     return value if isinstance(value, dict) and is_readable(value) else None
 
 
 def _is_unreadable(value: Any) -> bool:
-    return value is not None and _content(value) is None
+    return value is not None and _readable_content(value) is None
--- a/hawthornlead/platform/targets.py
+++ b/hawthornlead/platform/targets.py
@@ -1,4 +1,4 @@
-"""Targets on the wire: their entries in the store, their reports, orders to them."""
+"""Targets' wire format: entries in the store, reports and orders."""
 
 from typing import Any
 
@@ -30,26 +30,26 @@
 
 
 def read_target(record: StoredRecord) -> TargetEntry:
-    """Return the target that registered itself in an object.
+    """Decode the entry of a target, which is in its spec or else its status.
 
-    Raises ``ValueError`` if the object is no such entry: then it names no target.
+    Raises ``ValueError`` if the entry is invalid; the object then names no target.
     """
     try:
         return _entry(record)
     except ValueError as error:
-        raise ValueError(f"no target: {error}") from error
+        raise ValueError(f"invalid target entry: {error}") from error
 
 
 def read_report(body: Any) -> EngineReport:
-    """Return an engine's report; raises ``ValueError`` if it is none."""
+    """Decode an engine's report; raises ``ValueError`` if it is invalid."""
     try:
         return _report(mapping(body, "the report"))
     except ValueError as error:
-        raise ValueError(f"no report: {error}") from error
+        raise ValueError(f"invalid report: {error}") from error
 
 
 def order_body(order: EngineOrder) -> dict[str, Any]:
-    """Return the body of an order."""
+    """Encode an order."""
     body: dict[str, Any] = {
         "op": order.kind.value,
         "model": order.model,
@@ -65,7 +65,7 @@
 
 
 def read_order_outcome(status: int) -> OrderOutcome:
-    """Return what a target made of an order."""
+    """Return the outcome of an order from the status of its answer."""
     if status == 202:
         return OrderOutcome.STARTED
     if status == 200:
@@ -77,7 +77,7 @@
 
 def _entry(record: StoredRecord) -> TargetEntry:
     body = mapping(record.spec or record.status, "the entry")
-    # Not used, but an entry that lacks them is another writer's.
+    # These are not used, but an entry without them was not written by the target.
     text(body, "version")
     whole_number(body, "seq")
     number(body, "coldRemainingMs")
@@ -89,17 +89,17 @@
         service=text(body, "service"),
         address=ip_address(body, "address"),
         data_centre=text(body, "zone"),
-        slots=whole_number(body, "slots", least=1),
-        draining=_draining(body),
+        slots=whole_number(body, "slots", minimum=1),
+        draining=_is_draining(body),
         leaves_in_s=None if leaves_ms is None else leaves_ms / 1000,
         models=_models(body),
-        started_ms=_started(body),
+        started_ms=_started_ms(body),
     )
 
 
 def _report(body: dict) -> EngineReport:
     return EngineReport(
-        # On this interface the name means orders; in an entry of the store it counts
+        # In a report ``seq`` counts orders; in an entry of the store it counts
         # heartbeats.
         order_count=whole_number(body, "seq"),
         busy=boolean(body, "busy", False),
@@ -108,20 +108,20 @@
         kv_used=whole_number(body, "kvUsed", 0),
         kv_total=whole_number(body, "kvTotal", 0),
         models=_models(body),
-        arriving=tuple([_arriving(each) for each in items(body, "pending", [])]),
-        started_ms=_started(body),
+        arriving=tuple([_pending_adapter(each) for each in items(body, "pending", [])]),
+        started_ms=_started_ms(body),
     )
 
 
-def _draining(body: dict) -> bool:
+def _is_draining(body: dict) -> bool:
     state = text(body, "state")
     if state not in (READY, DRAINING):
-        raise ValueError("state is none that is known")
+        raise ValueError(f"state is unknown: {state}")
     return state == DRAINING
 
 
-def _started(body: dict) -> int | None:
-    """Return the start of what tells of itself; platforms of before don't tell it."""
+def _started_ms(body: dict) -> int | None:
+    """Return when the target started, None from older platforms without the field."""
     return whole_number(body, "born") if "born" in body else None
 
 
@@ -140,6 +140,6 @@
     return AdapterVersion(model, *versioned_name(value, "an adapter"))
 
 
-def _arriving(value: Any) -> AdapterVersion:
-    model, _, adapter = as_text(value, "an adapter on its way").partition("/")
+def _pending_adapter(value: Any) -> AdapterVersion:
+    model, _, adapter = as_text(value, "a pending adapter").partition("/")
     return _adapter(model, adapter)
--- a/hawthornlead/tests/test_bad_entries.py
+++ b/hawthornlead/tests/test_bad_entries.py
@@ -110,7 +110,7 @@
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("content", NO_OBJECT, ids=lambda value: f"{value!r:.20}")
 def test_what_is_no_such_object_is_refused(kind, content):
-    with pytest.raises(ValueError, match="no "):
+    with pytest.raises(ValueError, match="^invalid "):
         DECODERS[kind](stored(content))
 
 
--- a/hawthornlead/tests/test_platform_fields.py
+++ b/hawthornlead/tests/test_platform_fields.py
@@ -1,11 +1,11 @@
-"""Tests of reading JSON of which parts can't be read."""
+"""Tests of decoding JSON that is partly unreadable."""
 
 import json
 import math
 
 import pytest
 
-from hawthornlead.platform.fields import CUT_DEPTH, decode, is_readable
+from hawthornlead.platform.fields import MAX_PARSED_DEPTH, decode, is_readable
 from hawthornlead.platform.objects import (
     content_body,
     read_content,
@@ -48,22 +48,22 @@
 
 
 @pytest.mark.parametrize("what", UNREADABLE)
-def test_bytes_that_cannot_be_read_cost_no_other_object(what):
-    """No VM knows any target, for as long as one entry has a byte that isn't UTF-8.
+def test_unreadable_bytes_affect_no_other_object(what):
+    """One unreadable entry must not hide the other targets of a listing.
 
-    The listing's body was decoded as a whole, and one entry's bytes made it fail; each
-    VM listed again and again and learned nothing.
+    If the body is decoded strictly as a whole, one byte that isn't UTF-8 fails the
+    listing, and every VM relists for as long as the entry exists and knows no target.
     """
     body = page(item("a", GOOD), item("bad", UNREADABLE[what]), item("c", GOOD))
     records = read_page(decode(body)).records
     assert [record.name for record in records] == ["a", "bad", "c"]
     assert read_target(records[0])._replace(target="c") == read_target(records[2])
-    with pytest.raises(ValueError, match="no target"):
+    with pytest.raises(ValueError, match="invalid target entry"):
         read_target(records[1])
-    # What a relay tells of it is refused as well.
-    told = read_content("bad", 3, content_body(records[1]))
-    with pytest.raises(ValueError, match="no target"):
-        read_target(told)
+    # The copy that a relay forwards is refused as well.
+    relayed = read_content("bad", 3, content_body(records[1]))
+    with pytest.raises(ValueError, match="invalid target entry"):
+        read_target(relayed)
 
 
 def test_a_pair_of_surrogates_is_a_character():
@@ -72,8 +72,8 @@
     ).data_centre.isprintable()
 
 
-def test_levels_are_cut_only_where_they_are_too_many():
-    nested = "[" * CUT_DEPTH + '"]"' + "]" * CUT_DEPTH
+def test_only_excessive_levels_are_truncated():
+    nested = "[" * MAX_PARSED_DEPTH + '"]"' + "]" * MAX_PARSED_DEPTH
     assert json.dumps(decode(nested)) == nested
     deep = decode('[1, "[{", ' + "[" * 3000 + "]" * 3000 + ', {"a": "]"}]')
     assert deep[:2] == [1, "[{"]
@@ -84,22 +84,22 @@
             decode(broken)
 
 
-def test_numbers_that_are_none():
+def test_numbers_that_are_not_finite_are_read_as_infinite():
     assert decode(b"[NaN, Infinity, -Infinity, " + b"7" * 5000 + b"]") == [math.inf] * 4
     assert decode(b"[9223372036854775807, -1]") == [2**63 - 1, -1]
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_wrong_value_is_wrong_also_after_the_wire(kind):
-    """The tables hold for decoded values; bytes must not turn wrong into right."""
+def test_a_wrong_value_stays_wrong_after_encoding(kind):
+    """Encoding a wrong value and decoding it again must not make it acceptable."""
     for path, value in wrong_values(kind):
         spec = with_value(good_spec(kind, "main", 7), path, value)
         whole = {"metadata": {"name": "main", "revision": 3}, "spec": spec}
         record = read_record(decode(json.dumps(whole).encode()))
-        told = read_content("main", 3, content_body(record))
-        for read in (record, told):
-            with pytest.raises(ValueError, match="no "):
-                DECODERS[kind](read)
+        relayed = read_content("main", 3, content_body(record))
+        for each in (record, relayed):
+            with pytest.raises(ValueError, match="^invalid "):
+                DECODERS[kind](each)
 
 
 @pytest.mark.parametrize(
@@ -117,12 +117,12 @@
         '{"a":1,"b":2}',
     ],
 )
-def test_what_a_relay_tells_is_an_object_or_unreadable(body):
-    told = read_content("i-1", 3, body)
-    assert (told.name, told.revision, told.unreadable) == ("i-1", 3, True)
+def test_relayed_content_is_an_object_or_unreadable(body):
+    relayed = read_content("i-1", 3, body)
+    assert (relayed.name, relayed.revision, relayed.unreadable) == ("i-1", 3, True)
 
 
-def test_what_a_relay_tells_is_what_it_read():
+def test_relayed_content_equals_what_the_relay_read():
     record = read_record(decode(item("i-1", GOOD)))
     assert read_content("i-1", 3, content_body(record)) == record
     assert not read_content("i-1", 3, "[null, null]").unreadable
--- a/hawthornlead/tests/test_platform_wire.py
+++ b/hawthornlead/tests/test_platform_wire.py
@@ -1,4 +1,4 @@
-"""Tests of the adapter to the platform: what it decodes, and that it stays alone."""
+"""Tests of the platform's wire format, and that no other module knows its names."""
 
 import json
 import re
@@ -37,8 +37,8 @@
 from .gateways import HOST, configuration, route
 
 PACKAGE = Path(__file__).parents[1]
-# Names of headers, fields and paths that only the adapter may know. The header with a
-# caller's deadline isn't one of them: the product's own interface has it too.
+# Names of headers, fields and paths that only the package ``platform`` may contain. The
+# header with a caller's deadline is not listed: the product's own interface has it too.
 WIRE_NAMES = re.compile(
     r"Server-Seal|Expect-Instance|Expect-Version|Not-Executed|Token-Usage"
     r"|Prompt-Prefix|Length-Hint|Instance-Id|Weight-Versions|Kv-\w+|Pin-Ms"
@@ -49,7 +49,7 @@
 )
 
 
-def test_no_wire_name_stands_outside_the_adapter():
+def test_no_wire_name_is_outside_the_platform_package():
     for path in sorted(PACKAGE.rglob("*.py")):
         inside = path.relative_to(PACKAGE).parts
         if inside[0] in ("platform", "tests"):
@@ -58,7 +58,7 @@
         assert not found, f"{path.name} names {found}"
 
 
-def test_the_adapter_decides_and_keeps_nothing():
+def test_the_platform_package_keeps_no_state_and_decides_nothing():
     for path in sorted((PACKAGE / "platform").glob("*.py")):
         text = path.read_text(encoding="utf-8")
         for word in ("async def", "await ", "import random", "timers", "self._"):
@@ -82,10 +82,10 @@
 
 
 @pytest.mark.parametrize("missing", ["version", "routes", "services"])
-def test_a_configuration_with_a_part_missing_is_refused(missing):
+def test_an_incomplete_configuration_is_refused(missing):
     spec = configuration(1)
     del spec[missing]
-    with pytest.raises(ValueError, match="no configuration"):
+    with pytest.raises(ValueError, match="invalid configuration"):
         read_configuration(stored(spec))
 
 
@@ -114,7 +114,7 @@
     spec = target_spec(state="draining", remainingMs=1500)
     entry = read_target(stored(spec, "i-1"))
     assert (entry.target, entry.draining, entry.leaves_in_s) == ("i-1", True, 1.5)
-    with pytest.raises(ValueError, match="no target"):
+    with pytest.raises(ValueError, match="invalid target entry"):
         read_target(stored({"service": "llm"}))
 
 
@@ -131,7 +131,7 @@
     assert report.arriving[0] == ("m", "a5", 2)
 
 
-def test_an_order_names_the_count_it_was_decided_at():
+def test_an_order_carries_its_precondition_and_fence():
     order = EngineOrder(OrderKind.LOAD, "m", "a1", 2, 7, "vm-1", 5)
     assert order_body(order) == {
         "op": "load",
@@ -148,7 +148,7 @@
         assert read_order_outcome(status) is outcome
 
 
-def test_headers_of_the_system_are_never_the_callers():
+def test_callers_cannot_set_the_systems_headers():
     given = HTTPHeaders({"Hold": "h1", "Kv-From": "x", "Request-Id": "r1"})
     given.add("X-Own", "1")
     given.add("X-Own", "2")
@@ -166,7 +166,7 @@
     assert made.get_list("X-Own") == ["1", "2"]
 
 
-def test_what_a_caller_says_is_read_and_nonsense_is_absent():
+def test_invalid_headers_of_a_caller_count_as_absent():
     headers = HTTPHeaders(
         {"Model": "m/a7", "Token-Usage": "1460,80", "Deadline-Ms": "soon"}
     )
@@ -176,10 +176,10 @@
     assert read.deadline_ms is None
 
 
-def test_signs_of_an_answer():
+def test_metadata_of_an_answer():
     headers = HTTPHeaders({"Keep-Alive": "max=5, timeout=8", "Server-Seal": "s"})
-    signs = read_answer_metadata(200, headers)
-    assert (signs.sealed, signs.not_run, signs.idle_s) == (True, False, 8.0)
+    metadata = read_answer_metadata(200, headers)
+    assert (metadata.sealed, metadata.not_run, metadata.idle_s) == (True, False, 8.0)
     assert read_answer_metadata(421, HTTPHeaders()).not_run
     assert read_answer_metadata(503, HTTPHeaders({"Not-Executed": "1"})).not_run
     assert not read_answer_metadata(503, HTTPHeaders()).not_run
@@ -198,21 +198,21 @@
 
 
 @pytest.mark.parametrize(("text", "leaving"), [("1", True), ("0", False), ("", False)])
-def test_a_target_that_leaves_says_so(text, leaving):
+def test_a_leaving_target_announces_it(text, leaving):
     headers = HTTPHeaders({"Server-Leaving": text})
     assert read_answer_metadata(200, headers).leaving is leaving
     assert not read_answer_metadata(200, HTTPHeaders()).leaving
 
 
 @pytest.mark.parametrize(
-    ("status", "text", "rest_s"),
+    ("status", "text", "backoff_s"),
     [(503, "3", 3.0), (503, "0.5", 0.5), (503, "-3", 0.0), (503, "soon", 0.0)]
     + [(503, "inf", 0.0), (429, "3", 0.0), (200, "3", 0.0)],
 )
-def test_a_target_that_turns_a_request_away_may_ask_for_rest(status, text, rest_s):
+def test_a_refusing_target_may_request_a_backoff(status, text, backoff_s):
     headers = HTTPHeaders({"Retry-After": text})
-    assert read_answer_metadata(status, headers).rest_s == rest_s
-    assert read_answer_metadata(status, HTTPHeaders()).rest_s == 0
+    assert read_answer_metadata(status, headers).backoff_s == backoff_s
+    assert read_answer_metadata(status, HTTPHeaders()).backoff_s == 0
 
 
 def test_versions_and_addresses():
