--- a/hawthornlead/bench/bench_quotas.py
+++ b/hawthornlead/bench/bench_quotas.py
@@ -188,7 +188,7 @@
                 share=lambda vm=vm: self._heard_by(vm) / self._demand.vms,
                 vms=lambda: self._demand.vms,
             )
-            ledger.take({NAME: limit})
+            ledger.apply_limits({NAME: limit})
             self._ledgers.append(ledger)
             self._after(TELL_S * self._rng.random(), lambda vm=vm: self._tell(vm))
         for head in range(HEADS):
@@ -210,12 +210,12 @@
             return
         if vm in self._cut or head in self._cut:
             return
-        uses = self._ledgers[vm].told_uses()
+        uses = self._ledgers[vm].collect_uses()
         self._after(WAY_S, lambda: self._gather(head, uses))
 
     def _gather(self, head: int, uses: tuple) -> None:
         self._told[head] += uses
-        self._ledgers[head].take_uses(uses)
+        self._ledgers[head].apply_uses(uses)
 
     def _hurry(self, head: int) -> None:
         self._after(LOOK_S, lambda: self._hurry(head))
@@ -228,8 +228,8 @@
         ledger = self._ledgers[head]
         self._passed_at[head] = self._now
         self._surged[head] = ledger.surging()
-        ledger.note_counting()
-        uses = self._told[head] + ledger.told_uses()
+        ledger.mark_counting_locally()
+        uses = self._told[head] + ledger.collect_uses()
         self._told[head] = ()
         if head in self._cut:
             return
@@ -239,10 +239,10 @@
         states, share = ledger.states(), self._heard_by(head) / self._demand.vms
         for vm in range(head + HEADS, self._demand.vms, HEADS):
             if vm not in self._cut:
-                self._ledgers[vm].take_states(states, share)
+                self._ledgers[vm].apply_states(states, share)
 
     def _take(self, head: int, uses: tuple) -> None:
-        self._ledgers[head].take_uses(uses)
+        self._ledgers[head].apply_uses(uses)
 
 
 class _Load(NamedTuple):
--- a/hawthornlead/callers/requests.py
+++ b/hawthornlead/callers/requests.py
@@ -234,7 +234,7 @@
         offset = 0
         ran = False
         tried: set[str] = set()
-        self._retries.first_attempt()
+        self._retries.record_first_attempt()
         for number in range(1, self._settings["MAX_ATTEMPTS"] + 1):
             granted = await self._grant(request, assignment, tried)
             if isinstance(granted, Err):
@@ -314,7 +314,7 @@
         finally:
             self._deaths.ended(view.target, attempt_id)
         if end.failure is None:
-            self._suspects.completed(request.fingerprint)
+            self._suspects.record_completion(request.fingerprint)
         elif end.failure.kind in (ErrorKind.TARGET_LOST, ErrorKind.TARGET_UNREACHABLE):
             await self._deaths.suspect(view, running, end.failure)
         elif end.failure.kind is ErrorKind.CALLER_GONE:
--- a/hawthornlead/callers/service_calls.py
+++ b/hawthornlead/callers/service_calls.py
@@ -158,7 +158,7 @@
         return answer
 
     async def _try_targets(self, call) -> Result[ServiceAnswer, Failure]:
-        self._retries.first_attempt()
+        self._retries.record_first_attempt()
         ran = False
         tried: set[str] = set()
         for number in range(1, self._settings["MAX_ATTEMPTS"] + 1):
--- a/hawthornlead/decisions/limit_shares.py
+++ b/hawthornlead/decisions/limit_shares.py
@@ -6,7 +6,7 @@
 tells nobody anything::
 
     share = LimitShare(rate=0.37, now=timers.now(), rng=rng)
-    if share.take(timers.now()):
+    if share.acquire(timers.now()):
         ...
 """
 
@@ -45,14 +45,14 @@
             return 0.0
         return missing / self._rate if self._rate else math.inf
 
-    def take(self, now: float) -> bool:
+    def acquire(self, now: float) -> bool:
         """Use the credit of one request, if there is as much."""
         if self.wait_s(now) > 0:
             return False
         self._credit -= 1.0
         return True
 
-    def give_back(self) -> None:
+    def refund(self) -> None:
         """Return the credit of a request that wasn't sent."""
         self._credit += 1.0
 
--- a/hawthornlead/decisions/limits.py
+++ b/hawthornlead/decisions/limits.py
@@ -49,7 +49,7 @@
         self._tokens = float(burst)
         self._filled_at = now
 
-    def take(self, rate: float, burst: float, now: float) -> float:
+    def acquire(self, rate: float, burst: float, now: float) -> float:
         """Take one token; return 0, or the seconds until there will be one."""
         self._fill(rate, burst, now)
         if self._tokens >= 1:
@@ -57,7 +57,7 @@
             return 0.0
         return (1 - self._tokens) / rate if rate > 0 else float("inf")
 
-    def give_back(self) -> None:
+    def refund(self) -> None:
         """Return a token whose request was refused for another reason."""
         self._tokens += 1
 
@@ -117,13 +117,13 @@
         if state.open >= caller.concurrency:
             detail = f"{caller.name} has {state.open} requests open, its limit"
             return self._limited(detail, CONCURRENCY_RETRY_S)
-        wait_s = state.bucket.take(caller.rate, caller.burst, self._timers.now())
+        wait_s = state.bucket.acquire(caller.rate, caller.burst, self._timers.now())
         if wait_s > 0:
             detail = f"{caller.name} is over its rate of {caller.rate:g} a second"
             return self._limited(detail, wait_s)
         most = int(self._settings["MAX_OPEN_REQUESTS"] * open_share(priority))
         if self._open >= max(1, most):
-            state.bucket.give_back()
+            state.bucket.refund()
             # Spread, so that all who are refused don't come back at once.
             wait_s = OVERLOAD_RETRY_S * self._rng.uniform(0.5, 1.5)
             detail = f"no room for priority {priority}: {self._open} requests open"
--- a/hawthornlead/decisions/quotas.py
+++ b/hawthornlead/decisions/quotas.py
@@ -7,7 +7,7 @@
 within ``SETTLE_S``. A burst that begins within that delay is met by the credit that is
 left; a debt is paid back before more is let through::
 
-    ledger.take({"zimi": Limit(rate=42000, burst=42000)})
+    ledger.apply_limits({"zimi": Limit(rate=42000, burst=42000)})
     admitted = ledger.admit("zimi", cost=1115)
 """
 
@@ -140,7 +140,7 @@
         """The limits in force, by workspace."""
         return {name: account.limit for name, account in self._accounts.items()}
 
-    def take(self, limits: dict[str, Limit]) -> None:
+    def apply_limits(self, limits: dict[str, Limit]) -> None:
         """Put limits in force; what is known of a workspace's credit stays."""
         now = self._now()
         known, self._accounts = self._accounts, {}
@@ -177,7 +177,7 @@
         self._use(account, cost)
         return Ok(None)
 
-    def give_back(self, name: str, cost: float) -> None:
+    def refund(self, name: str, cost: float) -> None:
         """Return the credit of a request that was let through and never ran."""
         account = self._accounts.get(name)
         if account is not None:
@@ -185,7 +185,7 @@
 
     # What the VMs tell one another
 
-    def told_uses(self) -> tuple[QuotaUse, ...]:
+    def collect_uses(self) -> tuple[QuotaUse, ...]:
         """Return what this VM was asked for and let through since it was asked last."""
         uses = []
         for name, account in self._accounts.items():
@@ -195,7 +195,7 @@
             account.asked = account.used = 0.0
         return tuple(uses)
 
-    def take_uses(self, uses: tuple[QuotaUse, ...]) -> None:
+    def apply_uses(self, uses: tuple[QuotaUse, ...]) -> None:
         """Count what another VM was asked for and let through."""
         now = self._now()
         share = self._share()
@@ -217,7 +217,7 @@
             states.append(QuotaState(name, account.credit, account.demand.at(now)))
         return tuple(states)
 
-    def take_states(self, states: tuple[QuotaState, ...], share: float) -> None:
+    def apply_states(self, states: tuple[QuotaState, ...], share: float) -> None:
         """Take what a head knows of all VMs, in place of what was known here."""
         now = self._now()
         self._told_at = now
@@ -231,7 +231,7 @@
             account.demand.correct(state.demand, now)
             account.counted_at = now
 
-    def note_counting(self) -> None:
+    def mark_counting_locally(self) -> None:
         """Note that this VM counts by itself, as a head or in a small fleet."""
         self._told_at = self._now()
         self._told_share = None
--- a/hawthornlead/decisions/retries.py
+++ b/hawthornlead/decisions/retries.py
@@ -44,11 +44,11 @@
         retries = sum(one.retries for one in self._slices)
         return int(self._settings["RETRY_SHARE"] * firsts) + FLOOR - retries
 
-    def first_attempt(self) -> None:
+    def record_first_attempt(self) -> None:
         """Count the first attempt of a request."""
         self._current().firsts += 1
 
-    def take(self) -> bool:
+    def acquire(self) -> bool:
         """Use one retry of the budget; False when it is spent."""
         if self.left <= 0:
             return False
@@ -71,7 +71,7 @@
         clock), which uses up nothing, or when the budget is spent.
         """
         wait_s = self.backoff(number)
-        if self._timers.now() + wait_s >= deadline_at or not self.take():
+        if self._timers.now() + wait_s >= deadline_at or not self.acquire():
             return None
         return wait_s
 
--- a/hawthornlead/decisions/suspects.py
+++ b/hawthornlead/decisions/suspects.py
@@ -80,7 +80,7 @@
             return True
         return not any(self.is_suspect(other) for other in running)
 
-    def completed(self, fingerprint: bytes) -> None:
+    def record_completion(self, fingerprint: bytes) -> None:
         """Clear a suspect whose request completed whole; no conviction is lifted."""
         suspect = self._current(fingerprint)
         if suspect is None or suspect.refused_until is not None:
@@ -92,7 +92,9 @@
         del self._suspects[fingerprint]
         self._events.emit(EventKind.REQUEST_CLEARED, fingerprint.hex())
 
-    def died(self, target: str, boot_id: str, fingerprints: Iterable[bytes]) -> None:
+    def record_death(
+        self, target: str, boot_id: str, fingerprints: Iterable[bytes]
+    ) -> None:
         """Merge a report of the requests that were on a target as it died.
 
         Several VMs report one death; it counts once for each fingerprint.
@@ -105,7 +107,7 @@
             self._accuse(fingerprint, death)
 
     async def _on_crash_suspects(self, sender, message: CrashSuspects):
-        self.died(message.target, message.boot_id, message.fingerprints)
+        self.record_death(message.target, message.boot_id, message.fingerprints)
         return Done()
 
     def _accuse(self, fingerprint: bytes, death: _Death) -> None:
--- a/hawthornlead/decisions/views.py
+++ b/hawthornlead/decisions/views.py
@@ -12,7 +12,7 @@
 
 # Owners change without a call to this module, so the views are rebuilt this often
 # even when nothing else was heard.
-VIEW_KEEP_S = 0.25
+VIEW_MAX_AGE_S = 0.25
 
 
 def target_resource(target: str) -> str:
@@ -109,7 +109,7 @@
 
     def _refresh(self) -> None:
         now = self._timers.now()
-        if self._built_at is not None and now - self._built_at < VIEW_KEEP_S:
+        if self._built_at is not None and now - self._built_at < VIEW_MAX_AGE_S:
             return
         self._built_at = now
         self._entries = {entry.name: entry for entry in self._vm_list.engines()}
--- a/hawthornlead/engines/target_deaths.py
+++ b/hawthornlead/engines/target_deaths.py
@@ -95,7 +95,7 @@
     def _tell(self, view, boot_id: str, fingerprints, failure: Failure) -> None:
         if failure.kind is not ErrorKind.TARGET_UNREACHABLE:
             message = CrashSuspects(view.target, boot_id, fingerprints)
-            self._suspects.died(view.target, boot_id, fingerprints)
+            self._suspects.record_death(view.target, boot_id, fingerprints)
             self._mesh.broadcast(message)
         if view.owner_vm:
             self._mesh.cast(
--- a/hawthornlead/gateway/crash_watches.py
+++ b/hawthornlead/gateway/crash_watches.py
@@ -101,7 +101,7 @@
             EventKind.TARGET_DIED, entry.target, requests=len(fingerprints)
         )
         told = CrashSuspects(entry.target, _name(entry), tuple(fingerprints))
-        self._suspects.died(*told)
+        self._suspects.record_death(*told)
         self._mesh.broadcast(told)
 
     def _forget_old(self) -> None:
--- a/hawthornlead/gateway/gateway_parts.py
+++ b/hawthornlead/gateway/gateway_parts.py
@@ -136,7 +136,7 @@
             quota = workspace.quota
             if quota is not None:
                 limits[workspace.name] = Limit(quota.rate, quota.burst)
-        self.quotas.take(limits)
+        self.quotas.apply_limits(limits)
 
 
 def build_coordination(core: CoreParts, metrics: GatewayMetrics) -> Coordination:
--- a/hawthornlead/gateway/load_announcements.py
+++ b/hawthornlead/gateway/load_announcements.py
@@ -106,7 +106,7 @@
         self._on_word(word)
         if not self._mesh.large:
             self._count_quotas()
-            self._mesh.broadcast(word._replace(quotas=self._quotas.told_uses()))
+            self._mesh.broadcast(word._replace(quotas=self._quotas.collect_uses()))
             return
         state = self._memberships.own_state()
         if not self._mesh.is_head:
@@ -114,7 +114,7 @@
             return
         self._mesh.table.note(state)
         self._count_quotas()
-        told = MemberLoads(state, word.loads, self._quotas.told_uses())
+        told = MemberLoads(state, word.loads, self._quotas.collect_uses())
         self._note_near(told)
         self._note_silent()
         self._pass_on()
@@ -122,7 +122,7 @@
     def _count_quotas(self) -> None:
         """Count the quotas by what all VMs tell, where this VM knows who they are."""
         if self._memberships.roster.count:
-            self._quotas.note_counting()
+            self._quotas.mark_counting_locally()
 
     def _tell_heads(self, state: MemberState, word: VmLoads) -> None:
         """Tell the heads of this data centre, one of which feeds this VM."""
@@ -130,7 +130,7 @@
         owned = self._owned()
         for head in self._mesh.links.near:
             if head == feed:
-                uses = self._quotas.told_uses()
+                uses = self._quotas.collect_uses()
                 message = MemberUpdate(state, True, serial, owned, word.loads, uses)
             else:
                 message = MemberUpdate(state, False, NOTHING_TOLD, (), ())
@@ -225,7 +225,7 @@
         if not message.fed:
             return
         self._note_near(MemberLoads(message.state, message.loads, message.quotas))
-        self._quotas.take_uses(message.quotas)
+        self._quotas.apply_uses(message.quotas)
         self._take(vm, VmLoads(message.loads))
         if begins:
             self._mesh.on_fed(vm)
@@ -248,7 +248,7 @@
             if vm == self._mesh.vm:
                 continue
             changed |= self._mesh.table.note(member.state)
-            self._quotas.take_uses(member.quotas)
+            self._quotas.apply_uses(member.quotas)
             if not member.state.silent:
                 self._words[vm] = member
                 self._take(vm, VmLoads(member.loads))
@@ -272,7 +272,7 @@
         if sender.vm != self._mesh.feed:
             return
         self._loads.take_totals(message.running)
-        self._quotas.take_states(message.quotas, message.quota_share)
+        self._quotas.apply_states(message.quotas, message.quota_share)
         table = self._mesh.table
         if message.since == NOTHING_TOLD:
             table.replace(message.members)
@@ -287,7 +287,7 @@
         self._mesh.fed_serial = message.serial
 
     async def _take_word(self, sender, message: VmLoads) -> None:
-        self._quotas.take_uses(message.quotas)
+        self._quotas.apply_uses(message.quotas)
         self._take(sender.vm, message)
 
     async def _take_gathered(self, sender, message: GatheredLoads) -> None:
--- a/hawthornlead/gateway/request_forwards.py
+++ b/hawthornlead/gateway/request_forwards.py
@@ -85,7 +85,7 @@
             await self._serve_for(workspace, ranked(route, workspace))
         finally:
             if not self._may_have_run:
-                parts.quotas.give_back(*charged.ok_value)
+                parts.quotas.refund(*charged.ok_value)
 
     async def _serve_for(self, workspace: Workspace | None, route: Route) -> None:
         """Serve the request at its route, in the name of a workspace if it has one."""
@@ -104,7 +104,7 @@
             workspace,
         )
         service = choose_service(route, self._parts.rng)
-        self._parts.budget(service).first_attempt()
+        self._parts.budget(service).record_first_attempt()
         await self._serve(route, service)
 
     def _find_workspace(self, route: Route) -> Result[Workspace | None, Failure]:
--- a/hawthornlead/gateway/target_limits.py
+++ b/hawthornlead/gateway/target_limits.py
@@ -99,13 +99,13 @@
     def take(self, target: str) -> bool:
         """Count a request that is to be sent; False if the limit doesn't allow it."""
         limit = self._current(target)
-        return limit is None or limit.share.take(self._timers.now())
+        return limit is None or limit.share.acquire(self._timers.now())
 
     def give_back(self, target: str) -> None:
         """Count a request no more that was not sent."""
         limit = self._current(target)
         if limit is not None:
-            limit.share.give_back()
+            limit.share.refund()
 
     # What targets name
 
--- a/hawthornlead/tests/capacity_breaks.py
+++ b/hawthornlead/tests/capacity_breaks.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from hawthornlead.decisions.views import VIEW_KEEP_S
+from hawthornlead.decisions.views import VIEW_MAX_AGE_S
 
 from .capacity_fits import (
     ADAPTERS,
@@ -37,7 +37,7 @@
     router = rows("views")[-1]["router_us"]
     read = column("adapters", "adapters", "read_s")
     last = rows("views")[-1]
-    refreshed_us = LIMIT_CORE * 1e6 * VIEW_KEEP_S
+    refreshed_us = LIMIT_CORE * 1e6 * VIEW_MAX_AGE_S
     found = (
         Break(
             "VM list read whole each second, where the platform gives no entity tags",
--- a/hawthornlead/tests/capacity_costs.py
+++ b/hawthornlead/tests/capacity_costs.py
@@ -2,7 +2,7 @@
 
 from typing import Any, NamedTuple
 
-from hawthornlead.decisions.views import VIEW_KEEP_S
+from hawthornlead.decisions.views import VIEW_MAX_AGE_S
 
 from .capacity_fits import (
     ADAPTERS,
@@ -93,7 +93,7 @@
     last = rows("views")[-1]
     told = STATES_PER_S + 2 * WAKING_PER_S
     each_us = last["decode_us"] + last["rebuild_us"]
-    refreshed_us = last["refresh_us"] / VIEW_KEEP_S
+    refreshed_us = last["refresh_us"] / VIEW_MAX_AGE_S
     return Part(
         f"states of targets heard: {told:.0f} a second; all views anew each 0.25 s",
         (told * each_us + refreshed_us) / 1e6,
--- a/hawthornlead/tests/test_limit_shares.py
+++ b/hawthornlead/tests/test_limit_shares.py
@@ -41,7 +41,7 @@
         if vm not in self._shares:
             rate = self._limit / self._vms
             self._shares[vm] = LimitShare(rate, heard_at, self._rng)
-        return self._shares[vm].take(at)
+        return self._shares[vm].acquire(at)
 
 
 def most_in_a_window(sent):
@@ -77,11 +77,11 @@
     share = LimitShare(1.0, 0.0, Random(1))
     free_at = share.wait_s(0.0)
     assert free_at > ONSET_S
-    assert not share.take(free_at - 0.01)
-    assert share.take(free_at + 0.01)
-    assert not share.take(free_at + 0.02)
-    share.give_back()
-    assert share.take(free_at + 0.03)
+    assert not share.acquire(free_at - 0.01)
+    assert share.acquire(free_at + 0.01)
+    assert not share.acquire(free_at + 0.02)
+    share.refund()
+    assert share.acquire(free_at + 0.03)
 
 
 def test_no_credit_comes_of_a_limit_of_nothing():
--- a/hawthornlead/tests/test_quotas.py
+++ b/hawthornlead/tests/test_quotas.py
@@ -60,8 +60,8 @@
             share=lambda: self.share,
             vms=lambda: 10,
         )
-        self.ledger.take({"zimi": Limit(rate, burst)})
-        self.ledger.note_counting()
+        self.ledger.apply_limits({"zimi": Limit(rate, burst)})
+        self.ledger.mark_counting_locally()
 
     def admitted(self, count, cost=10.0, name="zimi") -> int:
         """Ask at one moment and return how many were let through."""
@@ -70,7 +70,7 @@
     def idle(self, seconds) -> None:
         """Let time pass in which nothing is asked."""
         self.at += seconds
-        self.ledger.note_counting()
+        self.ledger.mark_counting_locally()
 
 
 def test_an_unknown_workspace_has_no_limit():
@@ -96,7 +96,7 @@
 def test_what_others_let_through_is_paid_back_first():
     one = OneLedger()
     one.idle(5.0)
-    one.ledger.take_uses((QuotaUse("zimi", 500.0, 500.0), QuotaUse("gone", 1.0, 1.0)))
+    one.ledger.apply_uses((QuotaUse("zimi", 500.0, 500.0), QuotaUse("gone", 1.0, 1.0)))
     assert one.admitted(20) == 0
     one.idle(9.0)
     assert one.admitted(5) == 5
@@ -107,10 +107,10 @@
     one.idle(5.0)
     (before,) = one.ledger.states()
     one.ledger.admit("zimi", 80.0)
-    one.ledger.give_back("zimi", 80.0)
-    (use,) = one.ledger.told_uses()
+    one.ledger.refund("zimi", 80.0)
+    (use,) = one.ledger.collect_uses()
     assert use == ("zimi", 80.0, 0.0)
-    assert one.ledger.told_uses() == ()
+    assert one.ledger.collect_uses() == ()
     (state,) = one.ledger.states()
     assert state.credit == before.credit
 
@@ -118,9 +118,9 @@
 def test_a_lower_limit_takes_the_credit_above_it():
     one = OneLedger()
     one.idle(5.0)
-    one.ledger.take({"zimi": Limit(10.0, 20.0)})
+    one.ledger.apply_limits({"zimi": Limit(10.0, 20.0)})
     assert one.ledger.states()[0].credit <= 20.0
-    one.ledger.take({})
+    one.ledger.apply_limits({})
     assert one.ledger.limits == {}
     assert one.admitted(50) == 50
 
@@ -128,7 +128,7 @@
 def test_a_head_is_believed_but_for_what_it_wasnt_told():
     one = OneLedger()
     one.ledger.admit("zimi", 30.0)
-    one.ledger.take_states((QuotaState("zimi", 70.0, 12.0),), 0.5)
+    one.ledger.apply_states((QuotaState("zimi", 70.0, 12.0),), 0.5)
     assert one.ledger.states()[0].credit == 40.0
 
 
@@ -146,7 +146,7 @@
 def test_vms_that_are_parted_have_their_part_of_the_rate():
     one = OneLedger()
     one.idle(5.0)
-    one.ledger.take_uses((QuotaUse("zimi", 100.0, 100.0),))
+    one.ledger.apply_uses((QuotaUse("zimi", 100.0, 100.0),))
     before = one.ledger.states()[0].credit
     one.share = 0.5
     one.at += 1.0
@@ -157,7 +157,7 @@
     fleet = FakeFleet({"gijon": 14, "bilbao": 14, "santander": 12})
     await fleet.settle()
     for vm in fleet.vms.values():
-        vm.quotas.take({"zimi": Limit(100.0, 1000.0)})
+        vm.quotas.apply_limits({"zimi": Limit(100.0, 1000.0)})
     await fleet.settle(12.0)
     spender = next(name for name in fleet.vms if name not in fleet.heads())
     assert fleet.vms[spender].quotas.admit("zimi", 600.0).is_ok()
--- a/hawthornlead/tests/test_requests.py
+++ b/hawthornlead/tests/test_requests.py
@@ -77,7 +77,7 @@
         """Let a request that is a suspect run on a target."""
         view = next(view for view in self.views() if view.target == target)
         fingerprint = self.request(prompt).fingerprint
-        self.suspects.died("t0", "boot-1", [fingerprint])
+        self.suspects.record_death("t0", "boot-1", [fingerprint])
         self.deaths.started(view, f"{prompt}.1", fingerprint)
 
     def request(self, prompt, left_s=5.0):
@@ -102,7 +102,7 @@
     One of them is innocent. Kept apart, the next death names the one that did it.
     """
     site.run_on("t1", "bad")
-    site.suspects.died("t0", "boot-1", [site.request("suspect").fingerprint])
+    site.suspects.record_death("t0", "boot-1", [site.request("suspect").fingerprint])
     waiting = site.grant("suspect")
     await asyncio.sleep(0)
     await site.timers.advance(1)
@@ -115,7 +115,7 @@
 async def test_a_suspect_waits_where_suspects_run_everywhere(site):
     for target in ("t1", "t2"):
         site.run_on(target, f"bad-{target}")
-    site.suspects.died("t0", "boot-1", [site.request("suspect").fingerprint])
+    site.suspects.record_death("t0", "boot-1", [site.request("suspect").fingerprint])
     waiting, refused = site.grant("suspect"), site.grant("suspect")
     await asyncio.sleep(0)
     await site.timers.advance(1)
@@ -131,7 +131,7 @@
 async def test_a_suspect_that_waits_to_its_deadline_did_not_run(site):
     for target in ("t1", "t2"):
         site.run_on(target, f"bad-{target}")
-    site.suspects.died("t0", "boot-1", [site.request("suspect").fingerprint])
+    site.suspects.record_death("t0", "boot-1", [site.request("suspect").fingerprint])
     waiting = site.grant("suspect")
     await asyncio.sleep(0)
     await site.timers.advance(6)
@@ -152,7 +152,7 @@
             site.run_on("t1", "bad")
 
     site.on_acquire = other_begins
-    site.suspects.died("t0", "boot-1", [site.request("suspect").fingerprint])
+    site.suspects.record_death("t0", "boot-1", [site.request("suspect").fingerprint])
     waiting = site.grant("suspect")
     await asyncio.sleep(0)
     await site.timers.advance(1)
--- a/hawthornlead/tests/test_retries.py
+++ b/hawthornlead/tests/test_retries.py
@@ -31,16 +31,16 @@
     sent = 0
     for _ in range(30 * 50):
         await timers.advance(0.02)
-        retries.first_attempt()
+        retries.record_first_attempt()
         sent += 1
-        while retries.take():
+        while retries.acquire():
             sent += 1
     windows = 30 / WINDOW_S
     assert 1500 * 1.09 <= sent <= 1500 * 1.1 + FLOOR * (windows + 1)
 
 
 async def test_a_quiet_vm_may_retry_and_the_window_slides(retries, timers):
-    assert [retries.take() for _ in range(FLOOR + 1)] == [True] * FLOOR + [False]
+    assert [retries.acquire() for _ in range(FLOOR + 1)] == [True] * FLOOR + [False]
     await timers.advance(WINDOW_S + 1)
     assert retries.left == FLOOR
 
--- a/hawthornlead/tests/test_suspects.py
+++ b/hawthornlead/tests/test_suspects.py
@@ -39,10 +39,10 @@
     elsewhere and is cleared. The second death leaves only the guilty one with two,
     which is refused from then on; the innocent one is served.
     """
-    suspects.died("engine-1", "boot-1", [BAD, GOOD])
+    suspects.record_death("engine-1", "boot-1", [BAD, GOOD])
     assert suspects.check(BAD).is_ok()
-    suspects.completed(GOOD)
-    suspects.died("engine-2", "boot-7", [BAD, OTHER])
+    suspects.record_completion(GOOD)
+    suspects.record_death("engine-2", "boot-7", [BAD, OTHER])
     refused = suspects.check(BAD).err_value
     assert refused.kind is ErrorKind.QUARANTINED
     assert refused.retry_after_s == 600.0
@@ -57,26 +57,26 @@
     would convict an innocent request.
     """
     for _ in range(3):
-        suspects.died("engine-1", "boot-1", [GOOD])
+        suspects.record_death("engine-1", "boot-1", [GOOD])
     assert suspects.check(GOOD).is_ok()
-    suspects.died("engine-1", "boot-2", [GOOD])
+    suspects.record_death("engine-1", "boot-2", [GOOD])
     assert suspects.check(GOOD).is_err()
 
 
 async def test_a_report_that_comes_after_the_clearing_accuses_nobody(suspects):
-    suspects.died("engine-1", "boot-1", [GOOD])
-    suspects.completed(GOOD)
-    suspects.died("engine-1", "boot-1", [GOOD])
+    suspects.record_death("engine-1", "boot-1", [GOOD])
+    suspects.record_completion(GOOD)
+    suspects.record_death("engine-1", "boot-1", [GOOD])
     assert not suspects.is_suspect(GOOD)
 
 
 async def test_deaths_without_a_boot_id_are_told_apart_by_time(suspects, timers):
-    suspects.died("engine-1", "", [BAD])
+    suspects.record_death("engine-1", "", [BAD])
     await timers.advance(1)
-    suspects.died("engine-1", "", [BAD])
+    suspects.record_death("engine-1", "", [BAD])
     assert suspects.check(BAD).is_ok()
     await timers.advance(30)
-    suspects.died("engine-1", "", [BAD])
+    suspects.record_death("engine-1", "", [BAD])
     assert suspects.check(BAD).is_err()
 
 
@@ -85,16 +85,16 @@
 
     Neither could be told from the other, so a suspect joins only innocents.
     """
-    suspects.died("engine-1", "boot-1", [BAD, GOOD])
+    suspects.record_death("engine-1", "boot-1", [BAD, GOOD])
     assert suspects.may_join(BAD, [OTHER])
     assert not suspects.may_join(BAD, [OTHER, GOOD])
     assert suspects.may_join(OTHER, [BAD, GOOD])
 
 
 async def test_quarantine_and_suspicion_end(suspects, timers):
-    suspects.died("engine-1", "boot-1", [BAD, GOOD])
-    suspects.died("engine-2", "boot-1", [BAD])
-    suspects.completed(BAD)
+    suspects.record_death("engine-1", "boot-1", [BAD, GOOD])
+    suspects.record_death("engine-2", "boot-1", [BAD])
+    suspects.record_completion(BAD)
     assert suspects.check(BAD).is_err()
     await timers.advance(600)
     assert suspects.check(BAD).is_ok()
@@ -104,7 +104,7 @@
 
 async def test_memory_is_bounded(suspects):
     for number in range(MAX_SUSPECTS + 50):
-        suspects.died("engine-1", f"boot-{number}", [str(number).encode()])
+        suspects.record_death("engine-1", f"boot-{number}", [str(number).encode()])
     assert suspects.count == MAX_SUSPECTS
 
 
--- a/hawthornlead/tests/test_target_deaths.py
+++ b/hawthornlead/tests/test_target_deaths.py
@@ -82,7 +82,7 @@
     The boot id that the owner tells names the death alike on both.
     """
     bad = site.deaths.started(view("boot-1"), "r1.1", b"bad")
-    site.suspects.died("t1", "boot-1", [b"bad"])
+    site.suspects.record_death("t1", "boot-1", [b"bad"])
     await site.deaths.suspect(view("boot-1"), bad, LOST)
     assert site.told[0].boot_id == "boot-1"
     assert site.suspects.check(b"bad").is_ok()
