--- a/hawthornlead/engines/grant_givers.py
+++ b/hawthornlead/engines/grant_issuers.py
@@ -32,7 +32,7 @@
 from .residencies import Residency
 
 
-class GrantGiver:
+class GrantIssuer:
     """Gives the grants of one target.
 
     ``refusal`` says why nothing is granted now, None if nothing stands against it.
--- a/hawthornlead/engines/slots.py
+++ b/hawthornlead/engines/slots.py
@@ -20,7 +20,7 @@
 from .allowances import Allowances
 from .engine_clocks import EngineClock
 from .evict_guards import EvictGuard
-from .grant_givers import GrantGiver, no_grant
+from .grant_issuers import GrantIssuer, no_grant
 from .grant_ledgers import GrantLedger, HeldGrant
 from .load_queues import LoadQueue
 from .loaders import Loader
@@ -103,7 +103,7 @@
             allowances=allowances,
             changed=self._changed,
         )
-        self._giver = GrantGiver(
+        self._giver = GrantIssuer(
             core=core,
             target=target.name,
             policies=policies,
@@ -156,7 +156,7 @@
         return self._reader.silent
 
     @property
-    def grants(self) -> GrantGiver:
+    def grants(self) -> GrantIssuer:
         """The part that gives, extends and takes back grants."""
         return self._giver
 
