--- a/hawthornlead/engines/loaders.py
+++ b/hawthornlead/engines/loaders.py
@@ -23,7 +23,7 @@
 from .orders import TargetOrders
 from .owned_targets import OwnedTarget
 from .residencies import Residency, Slot, SlotState
-from .slot_rooms import SlotRoom
+from .slot_reclaimers import SlotReclaimer
 from .targets import OrderReply
 
 # How often a load looks for room anew after it lost it while it had a permit.
@@ -50,7 +50,7 @@
         orders: TargetOrders,
         residency: Residency,
         queue: LoadQueue,
-        room: SlotRoom,
+        room: SlotReclaimer,
         allowances: Allowances,
         changed: Signal,
     ):
--- a/hawthornlead/engines/slot_rooms.py
+++ b/hawthornlead/engines/slot_reclaimers.py
@@ -24,7 +24,7 @@
 DRAIN_S = 0.1
 
 
-class SlotRoom:
+class SlotReclaimer:
     """Makes room in the slots of one target."""
 
     def __init__(
--- a/hawthornlead/engines/slots.py
+++ b/hawthornlead/engines/slots.py
@@ -27,7 +27,7 @@
 from .orders import TargetOrders
 from .owned_targets import OwnedTarget, Policies
 from .residencies import Residency
-from .slot_rooms import SlotRoom
+from .slot_reclaimers import SlotReclaimer
 from .target_readers import TargetReader
 from .targets import TargetClient
 
@@ -83,7 +83,7 @@
             target=target.name,
             fence=ownership.fence,
         )
-        room = SlotRoom(
+        room = SlotReclaimer(
             core=core,
             target=target.name,
             policies=policies,
