--- a/hawthornlead/callers/requests.py
+++ b/hawthornlead/callers/requests.py
@@ -20,7 +20,7 @@
 from ..decisions.suspects import Suspects
 from ..decisions.views import TargetView, TargetViews
 from ..engines.grants import Grant, Grants
-from ..engines.spares import SpareCopies
+from ..engines.hot_copies import HotCopies
 from ..engines.suspect_places import SuspectPlaces
 from ..engines.target_deaths import TargetDeaths
 from ..errors import ErrorKind, Failure
@@ -128,7 +128,7 @@
         claims: RequestClaims,
         retries: Retries,
         shares: PopularityShares,
-        spares: SpareCopies,
+        spares: HotCopies,
         attempts: AttemptRunner,
         sent: SentAttempts,
     ):
--- a/hawthornlead/daemon/daemon_parts.py
+++ b/hawthornlead/daemon/daemon_parts.py
@@ -32,8 +32,8 @@
 from ..engines.allowances import Allowances
 from ..engines.exchanges import TargetConnections
 from ..engines.grants import Grants
+from ..engines.hot_copies import HotCopies
 from ..engines.owned_targets import Policies
-from ..engines.spares import SpareCopies
 from ..engines.suspect_places import SuspectPlaces
 from ..engines.target_deaths import TargetDeaths
 from ..engines.target_owners import TargetOwners
@@ -255,7 +255,7 @@
         clients=targets.clients,
         sent=sent,
     )
-    spares = SpareCopies(
+    spares = HotCopies(
         timers=timers,
         views=targets.views,
         grants=targets.grants,
--- a/hawthornlead/engines/spares.py
+++ b/hawthornlead/engines/hot_copies.py
@@ -20,7 +20,7 @@
 MOST_LOOKED_AT = 1024
 
 
-class SpareCopies:
+class HotCopies:
     """Asks for more copies of the adapters that requests come for."""
 
     def __init__(
--- a/hawthornlead/tests/test_spares.py
+++ b/hawthornlead/tests/test_hot_copies.py
@@ -4,7 +4,7 @@
 
 from hawthornlead.decisions.placements import PLACEMENTS
 from hawthornlead.decisions.popularities import POPULARITIES
-from hawthornlead.engines.spares import PAUSE_S, SpareCopies
+from hawthornlead.engines.hot_copies import PAUSE_S, HotCopies
 from hawthornlead.errors import ErrorKind, Failure
 from hawthornlead.settings import default_settings
 from hawthornlead.timers import ManualTimerService
@@ -30,7 +30,7 @@
     timers, grants = ManualTimerService(), _Grants()
     settings = default_settings(COPY_RATE=4.0)
     popularity = POPULARITIES["decayed"](settings=settings)
-    spares = SpareCopies(
+    spares = HotCopies(
         timers=timers,
         views=_Views(),
         grants=grants,
