--- a/hawthornlead/callers/requests.py
+++ b/hawthornlead/callers/requests.py
@@ -21,7 +21,7 @@
 from ..decisions.views import TargetView, TargetViews
 from ..engines.grants import Grant, Grants
 from ..engines.hot_copies import HotCopies
-from ..engines.suspect_places import SuspectPlaces
+from ..engines.suspect_reservations import SuspectReservations
 from ..engines.target_deaths import TargetDeaths
 from ..errors import ErrorKind, Failure
 from ..events import EventKind
@@ -111,7 +111,7 @@
 
     suspects: Suspects
     deaths: TargetDeaths
-    places: SuspectPlaces
+    places: SuspectReservations
 
 
 class RequestPath:
--- a/hawthornlead/daemon/daemon_parts.py
+++ b/hawthornlead/daemon/daemon_parts.py
@@ -34,7 +34,7 @@
 from ..engines.grants import Grants
 from ..engines.hot_copies import HotCopies
 from ..engines.owned_targets import Policies
-from ..engines.suspect_places import SuspectPlaces
+from ..engines.suspect_reservations import SuspectReservations
 from ..engines.target_deaths import TargetDeaths
 from ..engines.target_owners import TargetOwners
 from ..engines.targets import TargetClients
@@ -269,7 +269,9 @@
         routing=Routing(
             targets.views, targets.router, targets.popularity, targets.grants
         ),
-        crashes=CrashParts(suspects, deaths, SuspectPlaces(timers=timers, mesh=mesh)),
+        crashes=CrashParts(
+            suspects, deaths, SuspectReservations(timers=timers, mesh=mesh)
+        ),
         claims=claims,
         retries=retries,
         shares=targets.shares,
--- a/hawthornlead/engines/suspect_places.py
+++ b/hawthornlead/engines/suspect_reservations.py
@@ -35,7 +35,7 @@
     ends_at: float
 
 
-class SuspectPlaces:
+class SuspectReservations:
     """Asks owners for places, and gives out those of this VM's own targets."""
 
     def __init__(self, *, timers: TimerService, mesh):
--- a/hawthornlead/tests/test_suspect_places.py
+++ b/hawthornlead/tests/test_suspect_reservations.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hawthornlead.engines.suspect_places import SuspectPlaces
+from hawthornlead.engines.suspect_reservations import SuspectReservations
 from hawthornlead.errors import ErrorKind
 from hawthornlead.tests.fakes_mesh import LocalNetwork
 from hawthornlead.timers import ManualTimerService
@@ -19,7 +19,9 @@
     network = LocalNetwork(timers)
     places = {}
     for vm in ("vm-1", "vm-2", "vm-3"):
-        places[vm] = SuspectPlaces(timers=timers, mesh=network.join(vm, "dc1", vm))
+        places[vm] = SuspectReservations(
+            timers=timers, mesh=network.join(vm, "dc1", vm)
+        )
     return SimpleNamespace(timers=timers, network=network, places=places)
 
 
