--- a/hawthornlead/engines/allowances.py
+++ b/hawthornlead/engines/allowances.py
@@ -31,7 +31,7 @@
 from ..ownership.owners import OrderRight
 from ..waits import Signal
 from .grant_ledgers import AdapterVersion
-from .load_spacings import LoadSpacing
+from .load_pacers import LoadPacer
 
 # A load must start within this time of its permit.
 START_S = 2.0
@@ -82,7 +82,7 @@
         self._ownership = ownership
         self._stopped = False
         self._ends_at: dict[str, float] = {}
-        self._spacing = LoadSpacing()
+        self._spacing = LoadPacer()
         self._waiters: list[_Waiter] = []
         self._opens_at = ownership.taken_at
         if ownership.predecessor or ownership.fence > 1:
--- a/hawthornlead/engines/load_spacings.py
+++ b/hawthornlead/engines/load_pacers.py
@@ -3,7 +3,7 @@
 Leave to load is given at one moment and the load starts at a later one: the target
 may have to evict first, or carries out its orders slowly. The store counts starts.
 What is known of a start: it comes after the leave, and before the load's end by at
-least the time of the fastest load. ``LoadSpacing`` counts each load at the latest
+least the time of the fastest load. ``LoadPacer`` counts each load at the latest
 moment at which it may have started::
 
     spacing.given("permit-1", now)
@@ -20,7 +20,7 @@
 MAX_STARTS = 4096
 
 
-class LoadSpacing:
+class LoadPacer:
     """The loads given leave by one holder of an allowance."""
 
     def __init__(self):
