--- a/hawthornlead/engines/slots.py
+++ b/hawthornlead/engines/slots.py
@@ -28,7 +28,7 @@
 from .owned_targets import OwnedTarget, Policies
 from .residencies import Residency
 from .slot_reclaimers import SlotReclaimer
-from .target_readers import TargetReader
+from .target_pollers import TargetPoller
 from .targets import TargetClient
 
 
@@ -116,7 +116,7 @@
             changed=self._changed,
             refusal=self._refusal,
         )
-        self._reader = TargetReader(
+        self._reader = TargetPoller(
             timers=core.timers,
             events=core.events,
             metrics=core.metrics,
--- a/hawthornlead/engines/target_readers.py
+++ b/hawthornlead/engines/target_pollers.py
@@ -19,7 +19,7 @@
 MISSED_CALLS = 3
 
 
-class TargetReader:
+class TargetPoller:
     """Reads one target and hands what it tells to the owner's books."""
 
     def __init__(
