--- a/hawthornlead/callers/requests.py
+++ b/hawthornlead/callers/requests.py
@@ -111,7 +111,7 @@
 
     suspects: Suspects
     deaths: TargetDeaths
-    places: SuspectReservations
+    suspect_reservations: SuspectReservations
 
 
 class RequestPath:
@@ -128,7 +128,7 @@
         claims: RequestClaims,
         retries: Retries,
         shares: PopularityShares,
-        spares: HotCopies,
+        hot_copies: HotCopies,
         attempts: AttemptRunner,
         sent: SentAttempts,
     ):
@@ -149,10 +149,10 @@
         self._retries = retries
         self._suspects = crashes.suspects
         self._deaths = crashes.deaths
-        self._places = crashes.places
+        self._suspect_reservations = crashes.suspect_reservations
         self._routing = routing
         self._shares = shares
-        self._spares = spares
+        self._hot_copies = hot_copies
         self._attempts = attempts
         self._sent = sent
         self._outcomes = OutcomeRecorder(
@@ -188,7 +188,7 @@
         newest = request.in_force.seq >= self._keeper.seq_in_force
         self._invariants.check("admitted-under-newest", newest, request.request_id)
         self._shares.observe(assignment.adapter)
-        self._spares.consider(assignment)
+        self._hot_copies.consider(assignment)
         self._events.emit(
             EventKind.REQUEST_ADMITTED,
             request.request_id,
@@ -320,7 +320,7 @@
         elif end.failure.kind is ErrorKind.CALLER_GONE:
             self._events.emit(EventKind.CALLER_LEFT, attempt_id, target=view.target)
         # Only now: another suspect is kept away until a death has been told.
-        self._places.give(view, request.request_id)
+        self._suspect_reservations.release(view, request.request_id)
         return end
 
     async def _grant(
@@ -358,7 +358,9 @@
         if not self._suspects.is_suspect(request.fingerprint):
             return True
         hold_s = request.deadline_at - self._timers.now()
-        taken = await self._places.take(view, request.request_id, hold_s)
+        taken = await self._suspect_reservations.reserve(
+            view, request.request_id, hold_s
+        )
         return isinstance(taken, Ok)
 
     def _joinable(self, request: CallerRequest, tries: list[Try]) -> list[Try]:
--- a/hawthornlead/daemon/daemon_parts.py
+++ b/hawthornlead/daemon/daemon_parts.py
@@ -255,7 +255,7 @@
         clients=targets.clients,
         sent=sent,
     )
-    spares = HotCopies(
+    hot_copies = HotCopies(
         timers=timers,
         views=targets.views,
         grants=targets.grants,
@@ -275,7 +275,7 @@
         claims=claims,
         retries=retries,
         shares=targets.shares,
-        spares=spares,
+        hot_copies=hot_copies,
         attempts=attempts,
         sent=sent,
     )
--- a/hawthornlead/engines/suspect_reservations.py
+++ b/hawthornlead/engines/suspect_reservations.py
@@ -5,10 +5,10 @@
 be convicted with the one that did it. So a suspect asks the target's owner for the
 only place that it gives out, and gives it back when its attempt has ended::
 
-    taken = await places.take(view, request_id, hold_s=20.0)
+    taken = await places.reserve(view, request_id, hold_s=20.0)
     if taken.is_ok():
         ...                                     # run the attempt
-        places.give(view, request_id)
+        places.release(view, request_id)
 
 The place is no lock that safety rests on: an owner that changes, or forgets, lets
 two suspects meet, which costs an innocent request some minutes at worst.
@@ -46,7 +46,7 @@
         mesh.on(TakeSuspectPlace, self._on_take)
         mesh.on(GiveSuspectPlace, self._on_give)
 
-    async def take(
+    async def reserve(
         self, view: TargetView, request_id: str, hold_s: float
     ) -> Result[None, Failure]:
         """Take the place on a target for at most ``hold_s`` seconds.
@@ -62,7 +62,7 @@
             self._taken[request_id] = view.owner_vm
         return reply.map(lambda _: None)
 
-    def give(self, view: TargetView, request_id: str) -> None:
+    def release(self, view: TargetView, request_id: str) -> None:
         """Give a place back, if one was taken; lost, it runs out by itself."""
         owner_vm = self._taken.pop(request_id, None)
         if owner_vm is not None:
--- a/hawthornlead/tests/test_requests.py
+++ b/hawthornlead/tests/test_requests.py
@@ -45,15 +45,15 @@
             views=None,
             clients=None,
         )
-        parts = "keeper admissions claims retries attempts shares spares sent"
+        parts = "keeper admissions claims retries attempts shares hot_copies sent"
         self.path = RequestPath(
             core=core._replace(invariants=None),
             routing=Routing(views=self, router=self, popularity=None, grants=self),
-            crashes=CrashParts(self.suspects, self.deaths, places=self),
+            crashes=CrashParts(self.suspects, self.deaths, suspect_reservations=self),
             **dict.fromkeys(parts.split()),
         )
 
-    async def take(self, view, request_id, hold_s):
+    async def reserve(self, view, request_id, hold_s):
         """Give out the place for a suspect, as an owner that gives out no other."""
         return Ok(None)
 
