--- a/hawthornlead/callers/attempts.py
+++ b/hawthornlead/callers/attempts.py
@@ -103,7 +103,7 @@
             exchange.close()
             failure = Failure(ErrorKind.TOO_LATE_TO_START, "no time is left to run")
             return self._ended(call, failure, call.offset)
-        begun = grant.begin(call.attempt_id)
+        begun = grant.start(call.attempt_id)
         if isinstance(begun, Err):
             exchange.close()
             return self._ended(call, begun.err_value, call.offset)
--- a/hawthornlead/engines/grants.py
+++ b/hawthornlead/engines/grants.py
@@ -5,7 +5,7 @@
 
     granted = await grants.acquire("engine-3", assignment, wait_s=2.0)
     grant = granted.ok_value
-    if grant.begin(attempt_id).is_ok():
+    if grant.start(attempt_id).is_ok():
         ...                                     # send, relay the answer
         grant.finish(attempt_id, ended=True)    # the target is known to be done
 
@@ -130,13 +130,13 @@
         """How long the owner loaded for this request, in seconds."""
         return self._loaded_s
 
-    def begin(self, attempt_id: str) -> Result[None, Failure]:
+    def start(self, attempt_id: str) -> Result[None, Failure]:
         """Start an attempt; call it right before the bytes are sent.
 
         Refused when the grant has run out: the process may have been frozen since
         it was acquired, and the adapter evicted meanwhile.
         """
-        return self._grants.begin(self, self._held, attempt_id)
+        return self._grants.start(self, self._held, attempt_id)
 
     def finish(self, attempt_id: str, *, ended: bool = False) -> None:
         """End an attempt.
@@ -231,7 +231,7 @@
                 return outcome
             loaded_s = max(loaded_s, outcome.ok_value.loaded_s)
 
-    def begin(self, grant: Grant, held: _Held, attempt_id: str) -> Result:
+    def start(self, grant: Grant, held: _Held, attempt_id: str) -> Result:
         """See ``Grant.begin``."""
         held.reserved.discard(grant)
         now = self._timers.now()
--- a/hawthornlead/tests/fakes_joined.py
+++ b/hawthornlead/tests/fakes_joined.py
@@ -191,7 +191,7 @@
 
     async def stream(self, vm, grant, adapter, request_id, tokens):
         """Run a request under a grant and wait for its whole answer."""
-        assert grant.begin(request_id).is_ok()
+        assert grant.start(request_id).is_ok()
         body = {"id": request_id, "adapter": adapter, "version": "1", "prompt": "?"}
         await self.http.fetch(
             f"http://{self.engine.address}/v1/completions",
--- a/hawthornlead/tests/fakes_worlds.py
+++ b/hawthornlead/tests/fakes_worlds.py
@@ -361,7 +361,7 @@
 
     def send(self, vm, grant, adapter, request_id):
         """Begin an attempt and send it; True when it runs."""
-        if grant.begin(request_id).is_err():
+        if grant.start(request_id).is_err():
             return False
         if self.engine.start(request_id, _key(adapter)):
             return True
--- a/hawthornlead/tests/test_attempts.py
+++ b/hawthornlead/tests/test_attempts.py
@@ -38,7 +38,7 @@
     def __init__(self):
         self.ended = None
 
-    def begin(self, attempt_id):
+    def start(self, attempt_id):
         return Ok(None)
 
     def finish(self, attempt_id, *, ended=False):
--- a/hawthornlead/tests/test_late_attempts.py
+++ b/hawthornlead/tests/test_late_attempts.py
@@ -21,7 +21,7 @@
     def __init__(self):
         self.begun = []
 
-    def begin(self, attempt_id):
+    def start(self, attempt_id):
         """Note the attempt."""
         self.begun.append(attempt_id)
         return Ok(None)
