--- a/hawthornlead/callers/grant_rounds.py
+++ b/hawthornlead/callers/grant_rounds.py
@@ -113,7 +113,7 @@
         return Err(soonest or failure)
 
     async def _ask(
-        self, asking: "_Asking", one_try: Try, room_s: float
+        self, asking: "_Asking", one_try: Try, slot_wait_s: float
     ) -> Result[Granted, Failure]:
         left = asking.deadline_at - self._timers.now()
         if left < LEAST_WAIT_S:
@@ -124,9 +124,9 @@
             asking.assignment,
             wait_s=left,
             # A view may be old: who waits for a slot lets the adapter be loaded.
-            load=not one_try.resident or room_s > 0,
+            load=not one_try.resident or slot_wait_s > 0,
             priority=asking.priority,
-            room_s=room_s,
+            slot_wait_s=slot_wait_s,
         )
         return outcome.map(lambda grant: Granted(one_try, grant))
 
--- a/hawthornlead/engines/grant_issuers.py
+++ b/hawthornlead/engines/grant_issuers.py
@@ -160,7 +160,7 @@
         load = joined.ok_value
         try:
             outcome = await wait_for_load(
-                self._timers, self._loader, load, asking.until, asking.ask.room_s
+                self._timers, self._loader, load, asking.until, asking.ask.slot_wait_s
             )
             if isinstance(outcome, Err):
                 return outcome
@@ -194,7 +194,7 @@
         if now + estimate > until:
             detail = "a load can't be made in time"
             return Err(Failure(ErrorKind.NO_SLOT, detail, retry_after_s=estimate))
-        if ask.room_s <= 0 and not self._loader.takes(key):
+        if ask.slot_wait_s <= 0 and not self._loader.takes(key):
             return no_room()
         load = self._queue.join(
             key, ask.base_model, ask.priority, until, now, ask.ahead
--- a/hawthornlead/engines/grants.py
+++ b/hawthornlead/engines/grants.py
@@ -57,7 +57,7 @@
     key: GrantKey
     load: bool
     ahead: bool
-    room_s: float
+    slot_wait_s: float
 
 
 class _Held:
@@ -194,12 +194,12 @@
         load: bool = True,
         priority: int = 0,
         ahead: bool = False,
-        room_s: float = 3600.0,
+        slot_wait_s: float = 3600.0,
     ) -> Result[Grant, Failure]:
         """Get a place under a grant, from those held or from the target's owner.
 
         Requests that ask for the same at once share one asking. ``ahead`` and
-        ``room_s`` (seconds) are those of ``AcquireGrant``.
+        ``slot_wait_s`` (seconds) are those of ``AcquireGrant``.
         """
         key = GrantKey(target, AdapterVersion(assignment.adapter, assignment.version))
         until = self._timers.now() + wait_s
@@ -221,7 +221,7 @@
                 left,
                 load,
                 ahead,
-                room_s,
+                slot_wait_s,
             )
             asking = self._ask(key, ask)
             if not await wait_done(self._timers, asking, left):
@@ -320,7 +320,7 @@
     def _ask(self, key: GrantKey, ask: AcquireGrant) -> asyncio.Task:
         # Only askings that are answered alike are shared: a request must not get
         # the refusal of one that looked further sooner, or of a load ahead.
-        kind = _AskingKey(key, ask.load, ask.ahead, ask.room_s)
+        kind = _AskingKey(key, ask.load, ask.ahead, ask.slot_wait_s)
         asking = self._asking.get(kind)
         if asking is not None and not asking.done():
             return asking
--- a/hawthornlead/engines/load_waits.py
+++ b/hawthornlead/engines/load_waits.py
@@ -19,14 +19,14 @@
 
 
 async def wait_for_load(
-    timers: TimerService, loader: Loader, load: Load, until: float, room_s: float
+    timers: TimerService, loader: Loader, load: Load, until: float, slot_wait_s: float
 ) -> Result[None, Failure]:
-    """Wait for a load until ``until``, but ``room_s`` at most without a slot.
+    """Wait for a load until ``until``, but ``slot_wait_s`` at most without a slot.
 
     A slot may come and go while the load waits for its leave, so that the time
     without one counts anew from each look that finds one.
     """
-    room_until = timers.now() + max(LOOK_S, room_s)
+    room_until = timers.now() + max(LOOK_S, slot_wait_s)
     while True:
         pause = min(until - timers.now(), LOOK_S)
         if await wait_done(timers, load.ended, pause):
--- a/hawthornlead/messages/targets.py
+++ b/hawthornlead/messages/targets.py
@@ -36,7 +36,7 @@
     The owner loads it first where it must and can before ``wait_s`` is over.
     ``load`` False asks only for what is already resident. ``ahead`` says that no
     request waits: the adapter is loaded if that costs nobody anything. The owner
-    refuses after ``room_s`` in which no slot could be freed.
+    refuses after ``slot_wait_s`` in which no slot could be freed.
     """
 
     target: str
@@ -48,7 +48,7 @@
     wait_s: float
     load: bool = True
     ahead: bool = False
-    room_s: float = 3600.0
+    slot_wait_s: float = 3600.0
 
 
 @message("grant")
--- a/hawthornlead/tests/test_grant_rounds.py
+++ b/hawthornlead/tests/test_grant_rounds.py
@@ -23,16 +23,16 @@
 
 
 class _Grants:
-    """Owners that refuse as told; ``asked`` notes the target and its ``room_s``."""
+    """Owners that refuse as told; ``asked`` notes the target and its ``slot_wait_s``."""
 
     def __init__(self, timers, refusals):
         self.timers = timers
         self.refusals = refusals
         self.asked = []
 
-    async def acquire(self, target, assignment, *, wait_s, room_s, **_options):
-        self.asked.append((target, room_s))
-        self.timers._now += room_s
+    async def acquire(self, target, assignment, *, wait_s, slot_wait_s, **_options):
+        self.asked.append((target, slot_wait_s))
+        self.timers._now += slot_wait_s
         refusals = self.refusals.get(target, [])
         return Err(refusals.pop(0)) if refusals else Ok(_Grant())
 
--- a/hawthornlead/tests/test_load_waits.py
+++ b/hawthornlead/tests/test_load_waits.py
@@ -33,8 +33,8 @@
     """
     world = await _world()
     await _streaming(world)
-    at_once = _acquire(world, "a", "lap", room_s=0.0)
-    soon = _acquire(world, "a", "buoy", room_s=0.5)
+    at_once = _acquire(world, "a", "lap", slot_wait_s=0.0)
+    soon = _acquire(world, "a", "buoy", slot_wait_s=0.5)
     await world.advance(0.1)
     assert at_once.result().unwrap_err().kind is ErrorKind.NO_SLOT
     assert not soon.done()
@@ -48,7 +48,7 @@
     world.engine.end("r1")
     grant.finish("r1", ended=True)
     await world.advance(1.0)
-    asked = _acquire(world, "a", "lap", room_s=0.0)
+    asked = _acquire(world, "a", "lap", slot_wait_s=0.0)
     await world.advance(2.0)
     assert asked.result().is_ok()
 
