--- a/hawthornlead/engines/grants.py
+++ b/hawthornlead/engines/grants.py
@@ -136,7 +136,7 @@
         Refused when the grant has run out: the process may have been frozen since
         it was acquired, and the adapter evicted meanwhile.
         """
-        return self._grants.start(self, self._held, attempt_id)
+        return self._grants.start_attempt(self, self._held, attempt_id)
 
     def finish(self, attempt_id: str, *, ended: bool = False) -> None:
         """End an attempt.
@@ -145,7 +145,7 @@
         the end, refused, or was never reached. Else the grant is not given back but
         left to run out, so that the adapter stays until a report shows it idle.
         """
-        self._grants.finish(self, self._held, attempt_id, ended)
+        self._grants.finish_attempt(self, self._held, attempt_id, ended)
 
 
 class Grants:
@@ -231,8 +231,8 @@
                 return outcome
             loaded_s = max(loaded_s, outcome.ok_value.loaded_s)
 
-    def start(self, grant: Grant, held: _Held, attempt_id: str) -> Result:
-        """See ``Grant.begin``."""
+    def start_attempt(self, grant: Grant, held: _Held, attempt_id: str) -> Result:
+        """See ``Grant.start``."""
         held.reserved.discard(grant)
         now = self._timers.now()
         # GRA-2: read right before the send. GRA-10: one that was given back is over,
@@ -249,7 +249,9 @@
         )
         return Ok(None)
 
-    def finish(self, grant: Grant, held: _Held, attempt_id: str, ended: bool) -> None:
+    def finish_attempt(
+        self, grant: Grant, held: _Held, attempt_id: str, ended: bool
+    ) -> None:
         """See ``Grant.finish``."""
         held.reserved.discard(grant)
         if attempt_id in held.running:
--- a/hawthornlead/tests/test_grant_rounds.py
+++ b/hawthornlead/tests/test_grant_rounds.py
@@ -23,7 +23,7 @@
 
 
 class _Grants:
-    """Owners that refuse as told; ``asked`` notes the target and its ``slot_wait_s``."""
+    """Owners that refuse as told; ``asked`` notes targets and ``slot_wait_s``."""
 
     def __init__(self, timers, refusals):
         self.timers = timers
--- a/hawthornlead/tests/test_grants.py
+++ b/hawthornlead/tests/test_grants.py
@@ -129,12 +129,12 @@
     """
     grant = await _get(grants)
     parts.timers._now += 60
-    assert grant.begin("r1").unwrap_err().kind is ErrorKind.NO_GRANT
+    assert grant.start("r1").unwrap_err().kind is ErrorKind.NO_GRANT
 
 
 async def test_renewed_only_while_in_use(grants, mesh, parts):
     grant = await _get(grants)
-    assert grant.begin("r1").is_ok()
+    assert grant.start("r1").is_ok()
     ends_at = grant.ends_at
     await parts.timers.advance(20)
     assert grant.ends_at > ends_at and mesh.of(RenewGrants)
@@ -151,7 +151,7 @@
     """
     grant = await _get(grants)
     other = await _get(grants)
-    assert grant.begin("r1").is_ok()
+    assert grant.start("r1").is_ok()
     mesh.renews = False
     await parts.timers.advance(12)
     assert other.begin("r2").is_err()
@@ -160,13 +160,13 @@
 
 async def test_revoked_while_running_is_given_back_after(grants, mesh):
     grant = await _get(grants)
-    assert grant.begin("r1").is_ok()
+    assert grant.start("r1").is_ok()
     await mesh.handlers[RevokeGrant](None, RevokeGrant("engine", "g1"))
     assert mesh.of(ReleaseGrant) == []
     assert (await _get(grants)).grant_id == "g2"
     grant.finish("r1", ended=True)
     assert mesh.of(ReleaseGrant) == [ReleaseGrant("engine", "g1", 0)]
-    assert grant.begin("r2").is_err()
+    assert grant.start("r2").is_err()
 
 
 async def test_renewal_reply_after_the_grant_was_given_back(grants, mesh, parts):
@@ -176,7 +176,7 @@
     request could begin under a grant that the owner counts as returned.
     """
     grant = await _get(grants)
-    assert grant.begin("r1").is_ok()
+    assert grant.start("r1").is_ok()
     ends_at = grant.ends_at
     mesh.delay_s = 1.0
     renewing = asyncio.ensure_future(grants.renew())
@@ -188,12 +188,12 @@
     await parts.timers.advance(1.5)
     await renewing
     assert grant.ends_at == ends_at
-    assert grant.begin("r2").unwrap_err().kind is ErrorKind.NO_GRANT
+    assert grant.start("r2").unwrap_err().kind is ErrorKind.NO_GRANT
 
 
 async def test_doubtful_end_is_not_given_back(grants, mesh, parts):
     grant = await _get(grants)
-    assert grant.begin("r1").is_ok()
+    assert grant.start("r1").is_ok()
     grant.finish("r1")
     await mesh.handlers[RevokeGrant](None, RevokeGrant("engine", "g1"))
     await parts.timers.advance(30)
@@ -209,7 +209,7 @@
 async def test_requests_begun_are_told(grants, mesh):
     for number in range(3):
         grant = await _get(grants)
-        assert grant.begin(f"r{number}").is_ok()
+        assert grant.start(f"r{number}").is_ok()
         grant.finish(f"r{number}", ended=True)
     await grants.stop()
     assert mesh.of(ReleaseGrant) == [ReleaseGrant("engine", "g1", 2)]
--- a/hawthornlead/tests/test_slot_takeovers.py
+++ b/hawthornlead/tests/test_slot_takeovers.py
@@ -25,7 +25,7 @@
     wanted = world.acquire("c", "lap", wait_s=100)
     await world.advance(9)
     # Its holder may begin under it until it runs out by its own clock.
-    if grant.begin("r2").is_ok():
+    if grant.start("r2").is_ok():
         assert world.engine.start("r2", ("tide", "1"))
     await world.advance(20)
     assert evictions(world) == []
--- a/hawthornlead/tests/test_slots.py
+++ b/hawthornlead/tests/test_slots.py
@@ -82,7 +82,7 @@
         await world.thaw("b")
     if loss != "dead":
         # What it believes to hold has run out by its own clock.
-        assert grant.begin("r2").unwrap_err().kind is ErrorKind.NO_GRANT
+        assert grant.start("r2").unwrap_err().kind is ErrorKind.NO_GRANT
 
 
 async def test_lost_stream_is_not_given_back():
