--- a/hawthornlead/callers/requests.py
+++ b/hawthornlead/callers/requests.py
@@ -308,15 +308,15 @@
             request_id=request.request_id,
             once=bool(request.key),
         )
-        running = self._deaths.started(view, attempt_id, request.fingerprint)
+        running = self._deaths.record_start(view, attempt_id, request.fingerprint)
         try:
             end = await self._attempts.run(call, grant, sink)
         finally:
-            self._deaths.ended(view.target, attempt_id)
+            self._deaths.record_end(view.target, attempt_id)
         if end.failure is None:
             self._suspects.completed(request.fingerprint)
         elif end.failure.kind in (ErrorKind.TARGET_LOST, ErrorKind.TARGET_UNREACHABLE):
-            await self._deaths.suspect(view, running, end.failure)
+            await self._deaths.check(view, running, end.failure)
         elif end.failure.kind is ErrorKind.CALLER_GONE:
             self._events.emit(EventKind.CALLER_LEFT, attempt_id, target=view.target)
         # Only now: another suspect is kept away until a death has been told.
@@ -371,7 +371,7 @@
         """
         found = []
         for one_try in tries:
-            running = self._deaths.running(one_try.view.target)
+            running = self._deaths.running_fingerprints(one_try.view.target)
             if self._suspects.may_join(request.fingerprint, running):
                 found.append(one_try)
         return found
--- a/hawthornlead/engines/target_deaths.py
+++ b/hawthornlead/engines/target_deaths.py
@@ -46,26 +46,26 @@
         self._running: dict[str, dict[str, RunningAttempt]] = defaultdict(dict)
         self._boot_ids: dict[str, str] = {}
 
-    def started(
+    def record_start(
         self, view: TargetView, attempt_id: str, fingerprint: bytes
     ) -> RunningAttempt:
         """Note that an attempt goes to a target, at the start that is known of it."""
         if view.state is not None and view.state.boot_id:
-            self.learn(view.target, view.state.boot_id)
+            self.record_boot_id(view.target, view.state.boot_id)
         boot_id = self._boot_ids.get(view.target, "")
         attempt = RunningAttempt(fingerprint, boot_id)
         self._running[view.target][attempt_id] = attempt
         return attempt
 
-    def ended(self, target: str, attempt_id: str) -> None:
+    def record_end(self, target: str, attempt_id: str) -> None:
         """Note that an attempt has ended."""
         self._running[target].pop(attempt_id, None)
 
-    def running(self, target: str) -> tuple[bytes, ...]:
+    def running_fingerprints(self, target: str) -> tuple[bytes, ...]:
         """Return the fingerprints of what this VM runs on a target."""
         return tuple(one.fingerprint for one in self._running[target].values())
 
-    async def suspect(
+    async def check(
         self, view: TargetView, attempt: RunningAttempt, failure: Failure
     ) -> None:
         """Test a target that failed an attempt, and share the suspects if it died.
@@ -83,12 +83,12 @@
                 return
         else:
             now = health.ok_value.boot_id
-            self.learn(view.target, now)
+            self.record_boot_id(view.target, now)
             if attempt.boot_id in ("", now):
                 return
         self._tell(view, attempt.boot_id, tuple(sorted(fingerprints)), failure)
 
-    def learn(self, target: str, boot_id: str) -> None:
+    def record_boot_id(self, target: str, boot_id: str) -> None:
         """Note a target's boot id, as seen while it was well."""
         self._boot_ids[target] = boot_id
 
--- a/hawthornlead/tests/test_requests.py
+++ b/hawthornlead/tests/test_requests.py
@@ -78,7 +78,7 @@
         view = next(view for view in self.views() if view.target == target)
         fingerprint = self.request(prompt).fingerprint
         self.suspects.died("t0", "boot-1", [fingerprint])
-        self.deaths.started(view, f"{prompt}.1", fingerprint)
+        self.deaths.record_start(view, f"{prompt}.1", fingerprint)
 
     def request(self, prompt, left_s=5.0):
         """Return a request with some seconds to its deadline."""
@@ -120,7 +120,7 @@
     await asyncio.sleep(0)
     await site.timers.advance(1)
     assert not waiting.done()
-    site.deaths.ended("t2", "bad-t2.1")
+    site.deaths.record_end("t2", "bad-t2.1")
     await asyncio.sleep(0)
     await site.timers.advance(1)
     one_try, _ = (await waiting).ok_value
--- a/hawthornlead/tests/test_target_deaths.py
+++ b/hawthornlead/tests/test_target_deaths.py
@@ -66,12 +66,12 @@
     Another attempt has met the new start already. Held against the newest boot id
     the target looks well, and the request goes on to crash the next one.
     """
-    bad = site.deaths.started(view("boot-1"), "r1.1", b"bad")
-    site.deaths.started(view("boot-1"), "r2.1", b"beside")
-    site.deaths.started(view("boot-2"), "r3.1", b"later")
-    site.deaths.ended("t1", "r1.1")
+    bad = site.deaths.record_start(view("boot-1"), "r1.1", b"bad")
+    site.deaths.record_start(view("boot-1"), "r2.1", b"beside")
+    site.deaths.record_start(view("boot-2"), "r3.1", b"later")
+    site.deaths.record_end("t1", "r1.1")
     site.health_answer = Ok(Health("boot-2", 0.0))
-    await site.deaths.suspect(view("boot-2"), bad, LOST)
+    await site.deaths.check(view("boot-2"), bad, LOST)
     assert site.told == [CrashSuspects("t1", "boot-1", (b"bad", b"beside"))]
     assert not site.suspects.is_suspect(b"later")
 
@@ -81,16 +81,16 @@
 
     The boot id that the owner tells names the death alike on both.
     """
-    bad = site.deaths.started(view("boot-1"), "r1.1", b"bad")
+    bad = site.deaths.record_start(view("boot-1"), "r1.1", b"bad")
     site.suspects.died("t1", "boot-1", [b"bad"])
-    await site.deaths.suspect(view("boot-1"), bad, LOST)
+    await site.deaths.check(view("boot-1"), bad, LOST)
     assert site.told[0].boot_id == "boot-1"
     assert site.suspects.check(b"bad").is_ok()
 
 
 async def test_a_broken_stream_of_a_living_target_accuses_nobody(site):
-    alive = site.deaths.started(view("boot-1"), "r1.1", b"a")
+    alive = site.deaths.record_start(view("boot-1"), "r1.1", b"a")
     site.health_answer = Ok(Health("boot-1", 0.0))
-    await site.deaths.suspect(view("boot-1"), alive, LOST)
+    await site.deaths.check(view("boot-1"), alive, LOST)
     assert site.told == []
-    assert site.deaths.running("t1") == (b"a",)
+    assert site.deaths.running_fingerprints("t1") == (b"a",)
