--- a/hawthornlead/engines/grant_issuers.py
+++ b/hawthornlead/engines/grant_issuers.py
@@ -81,13 +81,13 @@
         """Give ``vm`` a grant, after a load where one is needed and in time."""
         key = AdapterVersion(ask.adapter, ask.version)
         asking = _Asking(vm, key, ask, self._now(), self._now() + ask.wait_s)
-        if not ask.ahead:
+        if not ask.prefetch:
             self._popularity.observe(ask.adapter, self._now())
         while True:
             refusal = self._refusal()
             if refusal is not None:
                 return Err(refusal)
-            if ask.ahead and self._orders.right() is not OrderRight.FULL:
+            if ask.prefetch and self._orders.right() is not OrderRight.FULL:
                 # Nothing is evicted in a store outage, so the free slots are all
                 # there is: spare copies of hot adapters would use them up, and
                 # requests for cold ones be refused till the outage ends.
@@ -177,7 +177,7 @@
             # The slot was held against eviction until here, for this request.
             if load.slot is not None:
                 load.slot.wanted -= 1
-            elif self._queue.leave(load, asking.ask.ahead):
+            elif self._queue.leave(load, asking.ask.prefetch):
                 self._changed.fire()
 
     def _join(self, asking: "_Asking") -> Result[Load, Failure]:
@@ -197,7 +197,7 @@
         if ask.slot_wait_s <= 0 and not self._loader.takes(key):
             return no_room()
         load = self._queue.join(
-            key, ask.base_model, ask.priority, until, now, ask.ahead
+            key, ask.base_model, ask.priority, until, now, ask.prefetch
         )
         self._loader.start_loads()
         return Ok(load)
--- a/hawthornlead/engines/grants.py
+++ b/hawthornlead/engines/grants.py
@@ -56,7 +56,7 @@
 
     key: GrantKey
     load: bool
-    ahead: bool
+    prefetch: bool
     slot_wait_s: float
 
 
@@ -193,12 +193,12 @@
         wait_s: float,
         load: bool = True,
         priority: int = 0,
-        ahead: bool = False,
+        prefetch: bool = False,
         slot_wait_s: float = 3600.0,
     ) -> Result[Grant, Failure]:
         """Get a place under a grant, from those held or from the target's owner.
 
-        Requests that ask for the same at once share one asking. ``ahead`` and
+        Requests that ask for the same at once share one asking. ``prefetch`` and
         ``slot_wait_s`` (seconds) are those of ``AcquireGrant``.
         """
         key = GrantKey(target, AdapterVersion(assignment.adapter, assignment.version))
@@ -220,7 +220,7 @@
                 priority,
                 left,
                 load,
-                ahead,
+                prefetch,
                 slot_wait_s,
             )
             asking = self._ask(key, ask)
@@ -322,7 +322,7 @@
     def _ask(self, key: GrantKey, ask: AcquireGrant) -> asyncio.Task:
         # Only askings that are answered alike are shared: a request must not get
         # the refusal of one that looked further sooner, or of a load ahead.
-        kind = _AskingKey(key, ask.load, ask.ahead, ask.slot_wait_s)
+        kind = _AskingKey(key, ask.load, ask.prefetch, ask.slot_wait_s)
         asking = self._asking.get(kind)
         if asking is not None and not asking.done():
             return asking
--- a/hawthornlead/engines/hot_copies.py
+++ b/hawthornlead/engines/hot_copies.py
@@ -57,5 +57,5 @@
     async def _load(self, target: str, assignment: Assignment) -> None:
         # The grant is dropped at once: unused, it is given back with the idle ones.
         await self._grants.acquire(
-            target, assignment, wait_s=WAIT_S, ahead=True, slot_wait_s=0.0
+            target, assignment, wait_s=WAIT_S, prefetch=True, slot_wait_s=0.0
         )
--- a/hawthornlead/engines/load_permits.py
+++ b/hawthornlead/engines/load_permits.py
@@ -43,18 +43,18 @@
         """Ask for a permit; None when requests came to a load ahead meanwhile."""
         asked_at = self._timers.now()
         left = load.deadline_at - asked_at
-        ahead = load.requests == 0
+        prefetch = load.requests == 0
         asked = await self._allowances.acquire(
             self._weight_store,
             self._target,
             load.key,
             load.priority,
-            min(left, AHEAD_ASK_S) if ahead else left,
+            min(left, AHEAD_ASK_S) if prefetch else left,
             load.requests,
         )
-        if isinstance(asked, Err) and ahead and load.requests > 0:
+        if isinstance(asked, Err) and prefetch and load.requests > 0:
             return None
-        if isinstance(asked, Ok) and not ahead:
+        if isinstance(asked, Ok) and not prefetch:
             self._given_at = self._timers.now()
             self._waited_s = self._given_at - asked_at
         return asked
--- a/hawthornlead/engines/load_queues.py
+++ b/hawthornlead/engines/load_queues.py
@@ -28,7 +28,7 @@
         self.deadline_at = asked_at
         self.waiting = 0
         # How many of those who wait only load ahead: no request stands behind them.
-        self.ahead = 0
+        self.prefetching = 0
         # The slot that it was loaded into, once it was.
         self.slot: Slot | None = None
         self.task: asyncio.Task | None = None
@@ -39,7 +39,7 @@
     @property
     def requests(self) -> int:
         """How many requests wait for it, leaving out those who load ahead."""
-        return self.waiting - self.ahead
+        return self.waiting - self.prefetching
 
     def request(self) -> LoadRequest:
         """Return what a load order sorts."""
@@ -77,24 +77,24 @@
         priority: int,
         deadline_at: float,
         now: float,
-        ahead: bool = False,
+        prefetch: bool = False,
     ) -> Load:
         """Return the load of an adapter version, wanted from now on if it was not."""
         load = self._loads.get(key)
         if load is None:
             load = self._loads[key] = Load(key, base_model, now)
         load.waiting += 1
-        load.ahead += ahead
+        load.prefetching += prefetch
         load.priority = max(load.priority, priority)
-        if not ahead:
+        if not prefetch:
             load.due_at = min(load.due_at, deadline_at)
         load.deadline_at = max(load.deadline_at, deadline_at)
         return load
 
-    def leave(self, load: Load, ahead: bool = False) -> bool:
+    def leave(self, load: Load, prefetch: bool = False) -> bool:
         """One request less waits; return whether the load is wanted by none."""
         load.waiting -= 1
-        load.ahead -= ahead
+        load.prefetching -= prefetch
         return load.waiting == 0
 
     def wants(self, key: AdapterVersion) -> bool:
--- a/hawthornlead/engines/loaders.py
+++ b/hawthornlead/engines/loaders.py
@@ -50,7 +50,7 @@
         orders: TargetOrders,
         residency: Residency,
         queue: LoadQueue,
-        room: SlotReclaimer,
+        reclaimer: SlotReclaimer,
         allowances: Allowances,
         changed: Signal,
     ):
@@ -62,7 +62,7 @@
         self._orders = orders
         self._residency = residency
         self._queue = queue
-        self._room = room
+        self._reclaimer = reclaimer
         self._allowances = allowances
         self._load_permits = LoadPermits(
             timers=core.timers,
@@ -84,9 +84,9 @@
         turns = self._queue.ahead_of(key) // self._settings["LOADS_AT_ONCE"] + 1
         return turns * self._mean_s + self._load_permits.expected_s
 
-    def can_load(self, key: AdapterVersion, ahead: int = 0) -> bool:
-        """Whether ``key`` has a slot, or could soon have one after ``ahead`` loads."""
-        return self._room.could_hold(key, ahead)
+    def can_load(self, key: AdapterVersion, loads_before: int = 0) -> bool:
+        """Whether ``key`` has a slot, or may soon have one after other loads."""
+        return self._reclaimer.could_hold(key, loads_before)
 
     def takes(self, key: AdapterVersion) -> bool:
         """Whether a load of ``key`` is wanted, or has a slot beside those that are."""
@@ -133,7 +133,7 @@
             self._queue.remove(load)
             load.end(outcome)
             if not self._running:
-                self._room.end_drains()
+                self._reclaimer.end_drains()
             self._changed.fire()
         self.start_loads()
 
@@ -144,7 +144,7 @@
                 return seen if isinstance(seen, Err) else Ok(None)
             self._expecting.add(load)
             if load.requests > 0:
-                await self._room.drain_best()
+                await self._reclaimer.drain_best()
             asked = await self._load_permits.ask(load)
             self._expecting.discard(load)
             if asked is None:
@@ -153,7 +153,7 @@
                 return asked
             permit = asked.ok_value
             wanted = self._residency.get(load.key) is None and self._orders.ready
-            if wanted and await self._room.make():
+            if wanted and await self._reclaimer.make():
                 return await self._load(load, permit)
             self._allowances.release(permit, loaded=False)
         return self._no_slot("no slot became free")
@@ -171,7 +171,7 @@
             if slot is not None and self._keep(slot, load):
                 return Ok(True)
             if slot is None and self._orders.ready:
-                if self._room.found(len(self._expecting)):
+                if self._reclaimer.found(len(self._expecting)):
                     return Ok(False)
                 if load.requests == 0:
                     return self._no_slot("no slot is free for a load ahead")
@@ -184,7 +184,7 @@
                     detail = "nothing is evicted while the store does not answer"
                     failure = Failure(ErrorKind.NO_SLOT, detail, NO_EVICTION_S)
                     return Err(failure)
-                self._room.drain_one(len(self._running))
+                self._reclaimer.drain_one(len(self._running))
             await self._changed.wait(self._timers, min(left, LOOK_AGAIN_S))
 
     def _keep(self, slot: Slot, load: Load) -> bool:
@@ -277,7 +277,7 @@
         if failure.kind is ErrorKind.NO_SLOT:
             # A load that an earlier owner ordered is still under way there. Each
             # further try would use up a share of the weight store's rate.
-            self._room.note_full(self._timers.now() + FULL_PAUSE_S)
+            self._reclaimer.note_full(self._timers.now() + FULL_PAUSE_S)
         if failure.kind is ErrorKind.LOAD_FAILED:
             self._queue.failed(load.key, self._timers.now())
 
--- a/hawthornlead/engines/slot_reclaimers.py
+++ b/hawthornlead/engines/slot_reclaimers.py
@@ -53,10 +53,10 @@
         # The target said that its slots are full, against what is known of them.
         self._full_until = float("-inf")
 
-    def could_hold(self, key: AdapterVersion, ahead: int = 0) -> bool:
+    def could_hold(self, key: AdapterVersion, loads_before: int = 0) -> bool:
         """Whether ``key`` has a slot, or could soon have one.
 
-        ``ahead`` loads need one each before it. A slot that runs nothing counts,
+        ``loads_before`` loads need one each before it. A slot that runs nothing counts,
         also under grants, which can be asked back.
         """
         if self._residency.get(key) is not None:
@@ -65,7 +65,7 @@
         for slot in self._residency.slots():
             if slot.state is SlotState.RESIDENT and not slot.wanted:
                 room += slot.running == 0 or self._ledger.idle(slot.key)
-        return room > ahead
+        return room > loads_before
 
     def found(self, expected: int) -> bool:
         """Whether there is room beside that for ``expected`` loads that saw some."""
--- a/hawthornlead/engines/slots.py
+++ b/hawthornlead/engines/slots.py
@@ -83,7 +83,7 @@
             target=target.name,
             fence=ownership.fence,
         )
-        room = SlotReclaimer(
+        reclaimer = SlotReclaimer(
             core=core,
             target=target.name,
             policies=policies,
@@ -99,11 +99,11 @@
             orders=self._orders,
             residency=self._residency,
             queue=self._queue,
-            room=room,
+            reclaimer=reclaimer,
             allowances=allowances,
             changed=self._changed,
         )
-        self._giver = GrantIssuer(
+        self._grant_issuer = GrantIssuer(
             core=core,
             target=target.name,
             policies=policies,
@@ -116,7 +116,7 @@
             changed=self._changed,
             refusal=self._refusal,
         )
-        self._reader = TargetPoller(
+        self._poller = TargetPoller(
             timers=core.timers,
             events=core.events,
             metrics=core.metrics,
@@ -144,21 +144,21 @@
     @property
     def leaving(self) -> bool:
         """Whether the target leaves and takes no new work."""
-        return self._giver.leaving
+        return self._grant_issuer.leaving
 
     @leaving.setter
     def leaving(self, leaving: bool) -> None:
-        self._giver.leaving = leaving
+        self._grant_issuer.leaving = leaving
 
     @property
     def silent(self) -> bool:
         """Whether the target has stopped answering its owner."""
-        return self._reader.silent
+        return self._poller.silent
 
     @property
     def grants(self) -> GrantIssuer:
         """The part that gives, extends and takes back grants."""
-        return self._giver
+        return self._grant_issuer
 
     @property
     def evicts_end_at(self) -> float:
@@ -198,8 +198,8 @@
             fence=self._fence,
             serial=serial,
             slots=0 if silent else self._residency.size,
-            running=self._reader.running,
-            queued=self._reader.queued,
+            running=self._poller.running,
+            queued=self._poller.queued,
             leaving=self.leaving,
             residents=() if silent else self._told_residents(),
             boot_id=self._residency.boot_id or "",
@@ -207,7 +207,7 @@
 
     def suspect(self) -> None:
         """Probe the target soon: a request failed there."""
-        self._reader.want_probe()
+        self._poller.want_probe()
         if not self._polling:
             self._timers.after(0, self.poll, name="suspected target")
 
@@ -221,7 +221,7 @@
                 self._guard.has_right()
                 if self._guard.needs_fence:
                     await self._orders.fence()
-            await self._reader.read()
+            await self._poller.read()
         finally:
             self._polling = False
         if self._predecessor_gone():
--- a/hawthornlead/messages/targets.py
+++ b/hawthornlead/messages/targets.py
@@ -34,7 +34,7 @@
     """Ask a target's owner for the right to run an adapter version there.
 
     The owner loads it first where it must and can before ``wait_s`` is over.
-    ``load`` False asks only for what is already resident. ``ahead`` says that no
+    ``load`` False asks only for what is already resident. ``prefetch`` says that no
     request waits: the adapter is loaded if that costs nobody anything. The owner
     refuses after ``slot_wait_s`` in which no slot could be freed.
     """
@@ -47,7 +47,7 @@
     priority: int
     wait_s: float
     load: bool = True
-    ahead: bool = False
+    prefetch: bool = False
     slot_wait_s: float = 3600.0
 
 
--- a/hawthornlead/tests/test_hot_copies.py
+++ b/hawthornlead/tests/test_hot_copies.py
@@ -22,7 +22,7 @@
         self.asked = []
 
     async def acquire(self, target, assignment, **options):
-        self.asked.append((target, assignment.adapter, options["ahead"]))
+        self.asked.append((target, assignment.adapter, options["prefetch"]))
         return Err(Failure(ErrorKind.NO_SLOT, "in use"))
 
 
--- a/hawthornlead/tests/test_load_waits.py
+++ b/hawthornlead/tests/test_load_waits.py
@@ -60,9 +60,9 @@
     """
     world = await _world()
     await _streaming(world)
-    ahead = _acquire(world, "a", "lap", ahead=True)
+    prefetched = _acquire(world, "a", "lap", prefetch=True)
     await world.advance(1.0)
-    assert ahead.result().unwrap_err().kind is ErrorKind.NO_SLOT
+    assert prefetched.result().unwrap_err().kind is ErrorKind.NO_SLOT
     assert (await world.acquired("b", "tide", wait_s=1.0)).is_ok()
 
 
@@ -76,9 +76,9 @@
     await _streaming(world)
     world.degrade("a", ALLOWANCE)
     world.degrade("a")
-    ahead = _acquire(world, "a", "buoy", ahead=True)
+    prefetched = _acquire(world, "a", "buoy", prefetch=True)
     await world.advance(1.0)
-    assert ahead.result().unwrap_err().kind is ErrorKind.NO_SLOT
+    assert prefetched.result().unwrap_err().kind is ErrorKind.NO_SLOT
     wanted = _acquire(world, "a", "lap")
     await world.advance(3.0)
     assert wanted.result().is_ok()
@@ -121,11 +121,11 @@
     world.vms["a"].mesh.on(AcquireLoad, note)
     (await world.acquired("b", "tide")).unwrap()
     await world.advance(0.6)
-    ahead = _acquire(world, "a", "lap", ahead=True)
+    prefetched = _acquire(world, "a", "lap", prefetch=True)
     await world.advance(0.1)
     joined = _acquire(world, "b", "lap")
     await world.advance(3.0)
-    assert joined.result().is_ok() and ahead.done()
+    assert joined.result().is_ok() and prefetched.done()
     assert told == [("tide", 1), ("lap", 0), ("lap", 1)]
 
 
