--- a/hawthornlead/gateway/placers.py
+++ b/hawthornlead/gateway/placers.py
@@ -15,9 +15,9 @@
     ReservePrompt,
 )
 from ..timers import TimerService
+from .candidate_scorers import CandidateScorer, reading_share
 from .engine_slots import AdapterKey
 from .gateway_metrics import GatewayMetrics
-from .known_targets import KnownTargets
 from .records import (
     CallerRequest,
     Configuration,
@@ -27,13 +27,13 @@
 )
 from .refusals import overload, unwanted
 from .run_times import RunTimes
+from .target_backoffs import TargetBackoffs
 from .target_choices import Candidate, Holding
 from .target_healths import TargetHealths
 from .target_limits import TargetLimits
 from .target_loads import TargetLoads
-from .target_rests import TargetRests
-from .target_surveys import TargetSurvey, reading_share
-from .target_tries import MAX_LOAD_TRIES, TargetTries
+from .target_searches import MAX_LOAD_TRIES, TargetSearch
+from .target_tables import TargetTable
 
 # A load takes 0.25 to 0.3 s and more while many run. One that is not there after this
 # is tried at another target, and what has no place after PLACE_S is refused: a caller
@@ -96,11 +96,11 @@
         self,
         *,
         data_centre: str,
-        targets: KnownTargets,
+        targets: TargetTable,
         loads: TargetLoads,
         healths: TargetHealths,
         limits: TargetLimits,
-        rests: TargetRests,
+        rests: TargetBackoffs,
         mesh: FleetMesh,
         timers: TimerService,
         metrics: GatewayMetrics,
@@ -114,7 +114,7 @@
         self._rests = rests
         self._mesh = mesh
         self._configuration: Configuration | None = None
-        self._survey = TargetSurvey(
+        self._survey = CandidateScorer(
             data_centre=data_centre,
             targets=targets,
             loads=loads,
@@ -139,7 +139,7 @@
         failure = Failure(ErrorKind.NO_TARGET, "no target can serve it now", 0.5)
         place_until = min(self._timers.now() + PLACE_S, wanted.deadline_at)
         reading = reading_share(wanted.route, request)
-        tries = TargetTries(
+        tries = TargetSearch(
             excluded=wanted.excluded,
             score=lambda excluded: self._survey.scored(spec, key, excluded, reading),
             timers=self._timers,
