--- a/hawthornlead/tests/test_grants.py
+++ b/hawthornlead/tests/test_grants.py
@@ -154,7 +154,7 @@
     assert grant.start("r1").is_ok()
     mesh.renews = False
     await parts.timers.advance(12)
-    assert other.begin("r2").is_err()
+    assert other.start("r2").is_err()
     assert grant.lost_at > parts.timers.now()
 
 
