--- a/hawthornlead/bench/bench_counts.py
+++ b/hawthornlead/bench/bench_counts.py
@@ -8,7 +8,7 @@
     HighestPopularity,
     Popularity,
 )
-from hawthornlead.decisions.popularity_exchanges import WaitingCounts, pace
+from hawthornlead.decisions.popularity_exchanges import PendingCounts, pace
 
 
 class Counts:
@@ -50,9 +50,9 @@
         super().__init__(queue, admitted, granted)
         self._deployment = deployment
         self._pace = pace(deployment.vms - 1)
-        self._waiting = [WaitingCounts() for _ in admitted]
+        self._waiting = [PendingCounts() for _ in admitted]
         for vm in range(deployment.vms):
-            queue.at(self._pace.pause_s * vm / deployment.vms, self._tell, vm)
+            queue.at(self._pace.interval_s * vm / deployment.vms, self._tell, vm)
 
     def admit(self, vm, adapter):
         """Count a request here, and for the others to be told."""
@@ -65,7 +65,7 @@
         if counts:
             self._queue.at(now + self._deployment.latency_s, self._take, vm, counts)
         if now < self._deployment.duration_s:
-            self._queue.at(now + self._pace.pause_s, self._tell, vm)
+            self._queue.at(now + self._pace.interval_s, self._tell, vm)
 
     def _take(self, sender: int, counts) -> None:
         for vm, popularity in enumerate(self.admitted):
--- a/hawthornlead/bench/bench_runs.py
+++ b/hawthornlead/bench/bench_runs.py
@@ -119,7 +119,7 @@
         if not self._policy.spare:
             return
         assignment = BenchAssignment(adapter, "1", "base", 0)
-        name = self._placement.spare(
+        name = self._placement.choose_hot_copy(
             assignment, self._views, popularity, self._queue.now
         )
         if name is not None:
--- a/hawthornlead/decisions/placements.py
+++ b/hawthornlead/decisions/placements.py
@@ -73,7 +73,7 @@
         """Return targets to load the adapter on, best first."""
         raise NotImplementedError
 
-    def spare(
+    def choose_hot_copy(
         self,
         assignment: "Assignment",
         views: Sequence[TargetView],
@@ -131,7 +131,7 @@
         few.sort(key=lambda name: self._price(usable[name], popularity, now))
         return few + order[self._settings["CHOICES"] :]
 
-    def spare(self, assignment, views, popularity, now):
+    def choose_hot_copy(self, assignment, views, popularity, now):
         """Return a target for one more copy when the rate asks for more copies."""
         usable = usable_views(assignment, views)
         copies = [view for view in usable if holds(view, assignment)]
--- a/hawthornlead/decisions/popularity_exchanges.py
+++ b/hawthornlead/decisions/popularity_exchanges.py
@@ -11,7 +11,7 @@
 
 **Bounds.** A message holds at most ``MESSAGE_BYTES`` and a VM sends at most
 ``SEND_BYTES_PER_S`` of them altogether: with more VMs they go out less often, down to
-one in ``LONGEST_S``, and then get smaller. What does not fit waits and is told later,
+one in ``MAX_INTERVAL_S``, and then get smaller. What does not fit is sent later,
 of at most ``MAX_WAITING`` adapters.
 
 **Faults.** Counts are differences with a serial number for each process of a sender.
@@ -27,8 +27,8 @@
 from ..timers import TimerService
 from .popularities import Popularity
 
-SHORTEST_S = 2.0
-LONGEST_S = 30.0
+MIN_INTERVAL_S = 2.0
+MAX_INTERVAL_S = 30.0
 MESSAGE_BYTES = 1024
 SEND_BYTES_PER_S = 4096
 # Envelope and framing of a message, and of each adapter in it beside its name.
@@ -36,14 +36,14 @@
 COUNT_OVERHEAD = 8
 MAX_WAITING = 4096
 # A VM counts as heard while its last counts are at most this many pauses old.
-HEARD_PAUSES = 3.0
-MOST_COUNT = 1_000_000
+MAX_MISSED_INTERVALS = 3.0
+MAX_COUNT = 1_000_000
 
 
 class Pace(NamedTuple):
     """How often counts are told, and how many bytes of them at most."""
 
-    pause_s: float
+    interval_s: float
     message_bytes: int
 
 
@@ -55,12 +55,12 @@
     """
     receivers = max(1, receivers)
     pause = receivers * MESSAGE_BYTES / SEND_BYTES_PER_S
-    pause = min(max(pause, SHORTEST_S), LONGEST_S)
+    pause = min(max(pause, MIN_INTERVAL_S), MAX_INTERVAL_S)
     size = int(SEND_BYTES_PER_S * pause / receivers)
     return Pace(pause, min(size, MESSAGE_BYTES))
 
 
-class WaitingCounts:
+class PendingCounts:
     """Counts of requests that other VMs were not told of yet."""
 
     def __init__(self):
@@ -77,7 +77,7 @@
             ranked = self._ranked()
             self._counts = dict(ranked[: MAX_WAITING // 2])
 
-    def take(self, size: int) -> tuple[AdapterCount, ...]:
+    def pop_largest(self, size: int) -> tuple[AdapterCount, ...]:
         """Take the greatest counts out, as many as fit in ``size`` bytes."""
         taken = []
         left = size - MESSAGE_OVERHEAD
@@ -119,7 +119,7 @@
         self._mesh = mesh
         self._members = members
         self._popularity = popularity
-        self._waiting = WaitingCounts()
+        self._waiting = PendingCounts()
         self._heard: dict[str, _Heard] = {}
         self._serial = 0
         self._due_at = 0.0
@@ -132,9 +132,9 @@
     def start(self) -> None:
         """Tell and listen from now on."""
         self._mesh.on(PopularityCounts, self._on_counts)
-        self._due_at = self._timers.now() + self._rng.random() * SHORTEST_S
+        self._due_at = self._timers.now() + self._rng.random() * MIN_INTERVAL_S
         self._timer = self._timers.every(
-            SHORTEST_S / 4, self.look, name="popularity counts"
+            MIN_INTERVAL_S / 4, self.announce_due, name="popularity counts"
         )
 
     async def stop(self) -> None:
@@ -147,7 +147,7 @@
         self._popularity.observe(adapter, self._timers.now())
         self._waiting.add(adapter)
 
-    def look(self) -> None:
+    def announce_due(self) -> None:
         """Tell the others what is due, and work out the share that is seen."""
         now = self._timers.now()
         others = [vm for vm in self._members.live_vms() if vm != self._vm]
@@ -156,9 +156,9 @@
         if now < self._due_at or not others:
             return
         # Told also without news: a VM that is silent counts as one not heard.
-        self._due_at = now + current.pause_s
+        self._due_at = now + current.interval_s
         self._serial += 1
-        counts = self._waiting.take(current.message_bytes)
+        counts = self._waiting.pop_largest(current.message_bytes)
         self._mesh.broadcast(PopularityCounts(self._serial, counts))
 
     def _note_share(self, others: list[str], now: float, current: Pace) -> None:
@@ -167,13 +167,13 @@
         Without it a VM that is cut from half of the others would believe that
         everything is asked for half as often.
         """
-        since = now - HEARD_PAUSES * current.pause_s
+        since = now - MAX_MISSED_INTERVALS * current.interval_s
         heard = 0
         for vm in others:
             told = self._heard.get(vm)
             heard += told is not None and told.at >= since
         for vm in self._heard.keys() - set(others):
-            if self._heard[vm].at < now - HEARD_PAUSES * LONGEST_S:
+            if self._heard[vm].at < now - MAX_MISSED_INTERVALS * MAX_INTERVAL_S:
                 del self._heard[vm]
         self._popularity.share = (heard + 1) / (len(others) + 1)
 
@@ -185,5 +185,5 @@
             return
         self._heard[sender.vm] = _Heard(sender.incarnation, message.serial, now)
         for adapter, count in message.counts:
-            if 0 < count <= MOST_COUNT:
+            if 0 < count <= MAX_COUNT:
                 self._popularity.observe(adapter, now, count)
--- a/hawthornlead/decisions/views.py
+++ b/hawthornlead/decisions/views.py
@@ -29,7 +29,7 @@
     """What this VM knows of one target.
 
     ``owner_vm`` is empty while nobody owns it, ``state`` None until its owner was
-    heard, ``heard_at`` by the timer service's clock (0 when never heard).
+    heard, ``last_seen_at`` by the timer service's clock (0 when never heard).
     """
 
     target: str
@@ -38,7 +38,7 @@
     base_models: tuple[str, ...]
     owner_vm: str
     state: TargetState | None
-    heard_at: float
+    last_seen_at: float
     leaving: bool
     slots: int = 0
     max_running: int = 0
@@ -82,7 +82,7 @@
         self._refresh()
         return self._views.get(target)
 
-    def take(self, state: TargetState) -> bool:
+    def apply_state(self, state: TargetState) -> bool:
         """Take in what an owner tells; return whether it was news.
 
         The newest fence wins, then the newest serial: a message of a superseded
@@ -102,7 +102,7 @@
         return True
 
     async def _on_target_state(self, sender, state: TargetState) -> None:
-        self.take(state)
+        self.apply_state(state)
 
     def _on_vm_list(self, *_unused) -> None:
         self._built_at = None
@@ -131,7 +131,7 @@
             base_models=tuple(attributes.get("base_models", ())),
             owner_vm=owner.vm if owner is not None else "",
             state=state,
-            heard_at=self._heard_at.get(entry.name, 0.0),
+            last_seen_at=self._heard_at.get(entry.name, 0.0),
             leaving=leaving,
             slots=int(attributes.get("slots", 0)),
             max_running=int(attributes.get("max_running", 0)),
--- a/hawthornlead/engines/hot_copies.py
+++ b/hawthornlead/engines/hot_copies.py
@@ -50,7 +50,9 @@
         if len(self._looked_at) > MOST_LOOKED_AT:
             del self._looked_at[next(iter(self._looked_at))]
         usable = [view for view in self._views.views() if not view.leaving]
-        target = self._placement.spare(assignment, usable, self._popularity, now)
+        target = self._placement.choose_hot_copy(
+            assignment, usable, self._popularity, now
+        )
         if target is not None:
             self._timers.after(0, lambda: self._load(target, assignment), "spare copy")
 
--- a/hawthornlead/engines/target_owners.py
+++ b/hawthornlead/engines/target_owners.py
@@ -220,7 +220,7 @@
             told.serial += 1
             told.at = now
             told.state = state._replace(serial=told.serial)
-            self._views.take(told.state)
+            self._views.apply_state(told.state)
             self._mesh.broadcast(told.state)
         self._tell_newcomers()
 
--- a/hawthornlead/gateway/adapter_homes.py
+++ b/hawthornlead/gateway/adapter_homes.py
@@ -9,7 +9,7 @@
 from ..hashes import rendezvous
 
 # Adapters whose homes are kept. A few adapters get most requests.
-MOST_KEPT = 256
+MAX_CACHED_ADAPTERS = 256
 
 
 class AdapterHomes:
@@ -26,7 +26,7 @@
             self._homes.clear()
         homes = self._homes.get(adapter)
         if homes is None:
-            if len(self._homes) >= MOST_KEPT:
+            if len(self._homes) >= MAX_CACHED_ADAPTERS:
                 del self._homes[next(iter(self._homes))]
             homes = self._homes[adapter] = tuple(rendezvous(adapter, targets))
         return homes
--- a/hawthornlead/gateway/drains.py
+++ b/hawthornlead/gateway/drains.py
@@ -24,7 +24,7 @@
 
     ::
 
-        drain.begin()
+        drain.start()
         await drain.wait()
     """
 
@@ -52,7 +52,7 @@
         """When the process ends, in seconds of the ``TimerService``."""
         return self._began_at + self._grace_s - END_MARGIN_S
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Begin to drain."""
         if self._began_at is None:
             self._began_at = self._timers.now()
--- a/hawthornlead/gateway/engine_calls.py
+++ b/hawthornlead/gateway/engine_calls.py
@@ -22,8 +22,8 @@
 # An engine answers these in a few milliseconds. An order without an answer by then may
 # still be carried out; all orders to its engine wait for so long. Giving it once more
 # is harmless, since an engine takes only one order of a count.
-ORDER_S = 0.1
-REPORT_S = 0.6
+ORDER_TIMEOUT_S = 0.1
+REPORT_TIMEOUT_S = 0.6
 
 
 class EngineCalls:
@@ -38,7 +38,7 @@
         if opened.is_err():
             return opened
         answer = await self._exchange(
-            opened.ok_value, "GET", address, target, REPORT_PATH, b"", REPORT_S
+            opened.ok_value, "GET", address, target, REPORT_PATH, b"", REPORT_TIMEOUT_S
         )
         if answer.is_err():
             return answer
@@ -70,7 +70,7 @@
             return OrderOutcome.REFUSED
         body = json.dumps(order_body(order)).encode()
         answer = await self._exchange(
-            opened.ok_value, "POST", address, target, ORDER_PATH, body, ORDER_S
+            opened.ok_value, "POST", address, target, ORDER_PATH, body, ORDER_TIMEOUT_S
         )
         if answer.is_ok():
             return read_order_outcome(answer.ok_value[0])
--- a/hawthornlead/gateway/engine_managers.py
+++ b/hawthornlead/gateway/engine_managers.py
@@ -111,8 +111,8 @@
         self._stopped = False
         self._subscriptions = []
         targets.subscribe_restarts(self._on_restarted)
-        targets.subscribe(lambda lost, _: self._holding_words.forget(lost.target))
-        mesh.on_fed = self._holding_words.tell_all
+        targets.subscribe(lambda lost, _: self._holding_words.discard(lost.target))
+        mesh.on_fed = self._holding_words.announce_all
         mesh.on(LoadAdapter, self._on_load)
         mesh.on(ReservePrompt, self._on_reserve)
         mesh.on(AdapterMissing, self._on_missing)
@@ -144,7 +144,7 @@
         for subscription in self._subscriptions:
             subscription.cancel()
         owned, self._owners = tuple(self._owners.values()), {}
-        await self._releases.give_back(owned)
+        await self._releases.release_all(owned)
         # A claim that is cut off may have reached the store; the engine then waited
         # for this VM's lease to run out.
         await self._changes.settle(CHANGES_S)
@@ -160,15 +160,15 @@
         """Return how many requests use each adapter of an engine, over all VMs."""
         return self._loads.adapters_running(target)
 
-    def told_every_s(self) -> float:
+    def announce_interval_s(self) -> float:
         """Return how often each VM tells of its requests, in seconds."""
-        return self._words.told_within_s
+        return self._words.max_report_age_s
 
-    def take(self, configuration: Configuration) -> None:
+    def apply_configuration(self, configuration: Configuration) -> None:
         """Take a newer configuration."""
         self._configuration = configuration
 
-    def tell_all(self, vm: str) -> None:
+    def announce_all(self, vm: str) -> None:
         """Tell a VM that has just been connected about all owned engines."""
         for holdings in self._all_holdings():
             self._mesh.cast(vm, holdings)
@@ -308,7 +308,7 @@
             gather_s += GATHER_EACH_S * len(self._memberships.live())
         await self._timers.sleep(gather_s)
         if self._owners.get(owner.target) is owner:
-            self._holding_words.tell(owner.holdings)
+            self._holding_words.announce(owner.holdings)
 
     def _note_uses(self, word: VmLoads) -> None:
         """Count the starts that a VM tells of for the engines owned here."""
--- a/hawthornlead/gateway/engine_owners.py
+++ b/hawthornlead/gateway/engine_owners.py
@@ -24,7 +24,7 @@
 from ..timers import TimerService
 from .adapter_requests import AdapterRequests
 from .arrival_times import ArrivalTimes
-from .engine_calls import ORDER_S, EngineCalls
+from .engine_calls import ORDER_TIMEOUT_S, EngineCalls
 from .engine_orders import EngineOrders
 from .engine_reports import REPORT_LAG_S, EngineReports
 from .engine_slots import AdapterKey, AdaptersInUse, EngineSlots, Slot, SlotState
@@ -33,7 +33,7 @@
 from .load_checks import LoadChecks
 from .ownerships import Ownerships
 from .prompt_pacers import PromptPacer
-from .recent_adapters import recently_kept
+from .recent_adapters import remembered_adapters
 from .records import (
     EngineReport,
     EngineSpec,
@@ -177,7 +177,7 @@
             HeldAdapters.of(self._slots.held),
             self._pace.expected_wait(self._timers.now()),
             self.incarnation.started_ms,
-            recently_kept(self._spec.adapter_slots),
+            remembered_adapters(self._spec.adapter_slots),
         )
 
     def start(self) -> None:
@@ -193,7 +193,7 @@
         """Give no further order, and wait until none can be on its way any more."""
         self._finished = True
         self._requests.stop()
-        await self._late.settled(ORDER_S)
+        await self._late.settled(ORDER_TIMEOUT_S)
         self.stop()
         on_its_way_s = self._late.on_its_way_s
         if on_its_way_s > 0:
--- a/hawthornlead/gateway/engine_releases.py
+++ b/hawthornlead/gateway/engine_releases.py
@@ -25,7 +25,7 @@
 
     ::
 
-        await releases.give_back(tuple(owners.values()))
+        await releases.release_all(tuple(owners.values()))
     """
 
     def __init__(
@@ -58,7 +58,7 @@
                 return
             await self._timers.sleep(STORE_LOOK_S)
 
-    async def give_back(self, owners: tuple[EngineOwner, ...]) -> None:
+    async def release_all(self, owners: tuple[EngineOwner, ...]) -> None:
         """Order engines no more, and let others claim them."""
         await asyncio.gather(*[self._release(owner) for owner in owners])
 
--- a/hawthornlead/gateway/engine_slots.py
+++ b/hawthornlead/gateway/engine_slots.py
@@ -56,7 +56,7 @@
     def running(self, target: str) -> dict[AdapterKey, int]:
         """Return how many requests use each adapter of an engine, over all VMs."""
 
-    def told_every_s(self) -> float:
+    def announce_interval_s(self) -> float:
         """Return how often each VM tells of its requests, in seconds."""
 
 
@@ -180,10 +180,10 @@
                 since = min(since, slot.since)
         return now - since
 
-    def victim(self, now: float, told_every_s: float = 0.0) -> AdapterKey | None:
+    def victim(self, now: float, announce_interval_s: float = 0.0) -> AdapterKey | None:
         """Return the adapter to evict: unused now, and asked for least lately.
 
-        ``told_every_s`` is how often each VM tells of its requests.
+        ``announce_interval_s`` is how often each VM tells of its requests.
         """
         best, least = None, math.inf
         for key, slot in self._slots.items():
@@ -191,7 +191,7 @@
                 continue
             if now - slot.since < TURN_ASKED_WITHIN_S:
                 continue
-            if self._has_turns(key, now - JUST_USED_S - told_every_s):
+            if self._has_turns(key, now - JUST_USED_S - announce_interval_s):
                 continue
             use = self._uses.get(key)
             score = 0.0 if use is None else self._score(use, now)
--- a/hawthornlead/gateway/fetch_trackers.py
+++ b/hawthornlead/gateway/fetch_trackers.py
@@ -14,7 +14,7 @@
 from ..timers import TimerService
 from .arrival_times import ArrivalTimes
 from .engine_slots import AdapterKey, EngineSlots, Slot
-from .recent_adapters import RecentAdapters, recently_kept
+from .recent_adapters import RecentAdapters, remembered_adapters
 from .records import EngineReport, held_version
 
 # An adapter takes 250 to 290 ms, or a tenth of it when the engine held it lately, and
@@ -53,7 +53,7 @@
         self._read_report = read_report
         self._on_ready = on_ready
         self._on_missing = on_missing
-        self._recent = RecentAdapters(recently_kept(slots.most))
+        self._recent = RecentAdapters(remembered_adapters(slots.most))
         self._fetches = 0
 
     async def follow(self, key: AdapterKey, slot: Slot) -> None:
--- a/hawthornlead/gateway/gateway_parts.py
+++ b/hawthornlead/gateway/gateway_parts.py
@@ -66,7 +66,7 @@
     connections: TargetConnections
     loads: TargetLoads
     healths: TargetHealths
-    room: EngineManager
+    engine_manager: EngineManager
 
 
 class GatewayParts:
@@ -130,7 +130,7 @@
         self.configuration = configuration
         self.routes = RouteTable(configuration.routes)
         self.workspaces = WorkspaceTable(configuration.workspaces)
-        self.placer.take(configuration)
+        self.placer.apply_configuration(configuration)
         limits = {}
         for workspace in configuration.workspaces or ():
             quota = workspace.quota
@@ -216,7 +216,7 @@
     targets = TargetTable(memberships=memberships, timers=timers, events=core.events)
     connections = TargetConnections(timers=timers)
     loads = TargetLoads(timers=timers, incarnation=targets.incarnation)
-    room = EngineManager(
+    engine_manager = EngineManager(
         memberships=memberships,
         ownerships=coordination.ownerships,
         targets=targets,
@@ -228,7 +228,9 @@
         metrics=metrics,
         quotas=coordination.quotas,
     )
-    return TargetParts(targets, connections, loads, TargetHealths(timers=timers), room)
+    return TargetParts(
+        targets, connections, loads, TargetHealths(timers=timers), engine_manager
+    )
 
 
 def build_requests(
@@ -293,13 +295,13 @@
         known.connections.forget(former.address)
         known.healths.forget(former.target)
         known.loads.restarted(former.target)
-        placer.forget(former.target)
+        placer.discard(former.target)
         limits.forget(former.target)
         rests.forget(former.target)
         deaths.restarted(former)
 
     known.targets.subscribe_restarts(drop_former)
-    known.targets.subscribe(lambda lost, _: placer.forget(lost.target))
+    known.targets.subscribe(lambda lost, _: placer.discard(lost.target))
     known.targets.subscribe(lambda lost, _: limits.forget(lost.target))
     known.targets.subscribe(lambda lost, _: rests.forget(lost.target))
     return GatewayParts(
--- a/hawthornlead/gateway/gateways.py
+++ b/hawthornlead/gateway/gateways.py
@@ -83,7 +83,7 @@
         self._relays = coordination.relays
         self._targets = targets.targets
         self._connections = targets.connections
-        self._room = targets.room
+        self._engine_manager = targets.engine_manager
         self._parts = build_requests(core, coordination, targets, metrics)
         self._callers = CallerEntry(self._serve, core.timers.now)
         self._watch_beliefs(metrics, targets.loads)
@@ -131,16 +131,16 @@
         for watcher in self._watchers.values():
             watcher.start()
         self._relays.start()
-        self._room.start()
+        self._engine_manager.start()
         self._timers.every(SWEEP_S, self._sweep, name="sweep")
         self._emit(EventKind.PROCESS_STARTED)
 
     async def drain(self) -> None:
         """Leave the answers, give the engines back, and serve what still comes."""
         self._emit(EventKind.PROCESS_DRAINING, open=self._callers.open)
-        self._drain.begin()
+        self._drain.start()
         self._memberships.leave()
-        await self._room.stop(self._drain.end_at - GIVE_BACK_S)
+        await self._engine_manager.stop(self._drain.end_at - GIVE_BACK_S)
         await self._drain.wait()
         self._server.stop()
         await self._drain.settle()
@@ -153,7 +153,7 @@
             server.stop()
         for watcher in self._watchers.values():
             watcher.stop()
-        self._room.close()
+        self._engine_manager.close()
         self._lease.stop()
         self._memberships.stop()
         self._parts.deaths.stop()
@@ -234,7 +234,11 @@
         for name, text, read in (
             ("live_vms", "VMs that callers are sent to", self._memberships.live),
             ("known_targets", "Targets that are registered", self._target_ids),
-            ("owned_engines", "Engines that this VM orders", lambda: self._room.owned),
+            (
+                "owned_engines",
+                "Engines that this VM orders",
+                lambda: self._engine_manager.owned,
+            ),
         ):
             metrics.watch(name, text, lambda read=read: len(read()))
         metrics.watch(
@@ -316,7 +320,7 @@
             way=self._relays.way(CONFIGURATION_KIND),
         )
         self._parts.take(configuration)
-        self._room.take(configuration)
+        self._engine_manager.apply_configuration(configuration)
         self._sweep()
 
     def _keep_configuration(self, name: str) -> None:
@@ -338,7 +342,7 @@
         self._emit(EventKind.FEED_CHANGED, head=head)
 
     async def _on_hello(self, sender, message: Hello) -> None:
-        self._room.tell_all(sender.vm)
+        self._engine_manager.announce_all(sender.vm)
 
 
 def run_gateway(
--- a/hawthornlead/gateway/holding_announcements.py
+++ b/hawthornlead/gateway/holding_announcements.py
@@ -27,7 +27,7 @@
 
         words = HoldingAnnouncements(mesh=mesh, timers=timers, own=room.holdings,
                              on_told=targets.take)
-        words.tell(owner.holdings)
+        words.announce(owner.holdings)
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         """Pass nothing on any more."""
         self._tasks.cancel()
 
-    def tell(self, holdings: TargetHoldings) -> None:
+    def announce(self, holdings: TargetHoldings) -> None:
         """Tell all other VMs what an engine holds."""
         if not self._mesh.large:
             self._mesh.broadcast(holdings)
@@ -69,13 +69,13 @@
         self._near_words[holdings.target] = self._newest[holdings.target] = word
         self._pass_soon()
 
-    def tell_all(self, vm: str) -> None:
+    def announce_all(self, vm: str) -> None:
         """Tell one VM all that this one knows of engines."""
         for holdings in self._own():
             self._newest[holdings.target] = VmHoldings(self._mesh.vm, holdings)
         self._mesh.cast(vm, GatheredHoldings(tuple(self._newest.values())))
 
-    def forget(self, target: str) -> None:
+    def discard(self, target: str) -> None:
         """Drop the word on a target that is gone."""
         self._newest.pop(target, None)
 
@@ -84,7 +84,7 @@
             await self._timers.sleep(RETELL_S)
             if self._mesh.large:
                 for holdings in self._own():
-                    self.tell(holdings)
+                    self.announce(holdings)
 
     def _pass_soon(self) -> None:
         self._tasks.spawn_once("pass", self._pass_on)
--- a/hawthornlead/gateway/load_announcements.py
+++ b/hawthornlead/gateway/load_announcements.py
@@ -80,7 +80,7 @@
         mesh.on(FleetUpdate, self._take_fleet)
 
     @property
-    def told_within_s(self) -> float:
+    def max_report_age_s(self) -> float:
         """How old what is known of a VM's requests may be, in seconds."""
         if self._mesh.large:
             return GATHERED_STEPS * GATHER_S
@@ -97,10 +97,10 @@
     async def _tell_on(self) -> None:
         while True:
             large = self._mesh.large
-            await self._timers.sleep(GATHER_S if large else self.told_within_s)
-            self.tell()
+            await self._timers.sleep(GATHER_S if large else self.max_report_age_s)
+            self.announce()
 
-    def tell(self) -> None:
+    def announce(self) -> None:
         """Tell of this VM and its requests once, and pass on what was gathered."""
         word = self._loads.word()
         self._on_word(word)
--- a/hawthornlead/gateway/load_checks.py
+++ b/hawthornlead/gateway/load_checks.py
@@ -79,7 +79,9 @@
     def victim(self) -> AdapterKey | None:
         """Return the adapter to evict, None if all are in use."""
         self._note_running()
-        return self._slots.victim(self._timers.now(), self._in_use.told_every_s())
+        return self._slots.victim(
+            self._timers.now(), self._in_use.announce_interval_s()
+        )
 
     def _note_running(self) -> None:
         self._slots.note_running(self._in_use.running(self._target))
--- a/hawthornlead/gateway/observed_targets.py
+++ b/hawthornlead/gateway/observed_targets.py
@@ -50,7 +50,7 @@
         self.owner = vm
         self.fence = told.fence
         self.turn_at = now + told.turn_s
-        self._recent.keep(told.recently_kept)
+        self._recent.set_limit(told.recently_kept)
         before = self._held
         held = told.adapters
         keys = map(AdapterKey, held.models, held.names)
--- a/hawthornlead/gateway/placers.py
+++ b/hawthornlead/gateway/placers.py
@@ -73,7 +73,7 @@
     counted: bool = False
 
 
-class Wanted(NamedTuple):
+class PlacementRequest(NamedTuple):
     """A request that wants a place; ``excluded`` targets have had it already."""
 
     route: Route
@@ -125,11 +125,11 @@
             run_times=run_times,
         )
 
-    def take(self, configuration: Configuration) -> None:
+    def apply_configuration(self, configuration: Configuration) -> None:
         """Take a newer configuration."""
         self._configuration = configuration
 
-    async def place(self, wanted: Wanted) -> Result[Placed, Failure]:
+    async def place(self, wanted: PlacementRequest) -> Result[Placed, Failure]:
         """Return where the request goes, its adapter ready there."""
         spec = self._configuration.service(wanted.service)
         if spec is None:
@@ -180,7 +180,7 @@
 
     async def _prepare_within_limit(
         self,
-        wanted: Wanted,
+        wanted: PlacementRequest,
         spec: ServiceSpec,
         placed: Placed,
         place_until: float,
@@ -200,7 +200,7 @@
 
     async def _prepare(
         self,
-        wanted: Wanted,
+        wanted: PlacementRequest,
         spec: ServiceSpec,
         placed: Placed,
         place_until: float,
@@ -230,11 +230,11 @@
                 return turn
             turn_s = turn.ok_value
         if not self._targets.is_current(entry):
-            self.note_ended(placed)
+            self.notify_ended(placed)
             return Err(_gone())
         return Ok(turn_s)
 
-    def note_ended(self, placed: Placed) -> None:
+    def notify_ended(self, placed: Placed) -> None:
         """Tell a target's owner that a request which had its turn is over.
 
         Without this word an adapter would seem in use for 0.2 s to 0.6 s longer than it
@@ -248,11 +248,11 @@
         message = RequestEnded(entry.target, *key, running, entry.started_ms)
         send(self._mesh, owner, message)
 
-    def forget(self, target: str) -> None:
+    def discard(self, target: str) -> None:
         """Drop what was noted of a target that is gone, or started again."""
         self._survey.forget(target)
 
-    def note_missing(self, target: str, key: AdapterKey) -> None:
+    def notify_missing(self, target: str, key: AdapterKey) -> None:
         """Tell a target's owner that it refused a request for want of an adapter."""
         owner = self._targets.owner(target)
         if owner:
@@ -270,7 +270,7 @@
         return unwanted(min(waits)) if waits else None
 
     async def _await_turn(
-        self, wanted: Wanted, placed: Placed
+        self, wanted: PlacementRequest, placed: Placed
     ) -> Result[float | None, Failure]:
         """Wait until the engine may read the prompt, and return for how long.
 
@@ -316,13 +316,17 @@
             await self._timers.sleep(wait_s)
         return Ok(max(0.0, wait_s))
 
-    def _slot_due_at(self, wanted: Wanted) -> float:
+    def _slot_due_at(self, wanted: PlacementRequest) -> float:
         """Return when an adapter must be ordered for an answer within its objective."""
         begun_by = wanted.arrived_at + wanted.route.objective_ms / 1000
         return min(begun_by, wanted.deadline_at) - START_S
 
     async def _load(
-        self, wanted: Wanted, placed: Placed, wait_s: float, slot_wait_s: float
+        self,
+        wanted: PlacementRequest,
+        placed: Placed,
+        wait_s: float,
+        slot_wait_s: float,
     ) -> Result[AdapterLoaded, Failure]:
         entry, key = placed.entry, placed.key
         owner = self._targets.owner(entry.target)
--- a/hawthornlead/gateway/recent_adapters.py
+++ b/hawthornlead/gateway/recent_adapters.py
@@ -7,7 +7,7 @@
 KEPT_EACH_SLOT = 6
 
 
-def recently_kept(adapter_slots: int) -> int:
+def remembered_adapters(adapter_slots: int) -> int:
     """Return how many adapters an engine with so many slots remembers."""
     return KEPT_EACH_SLOT * adapter_slots
 
@@ -17,7 +17,7 @@
 
     ::
 
-        recent = RecentAdapters(recently_kept(5))
+        recent = RecentAdapters(remembered_adapters(5))
         recent.note(key)
         key in recent
     """
@@ -29,7 +29,7 @@
     def __contains__(self, key: AdapterKey) -> bool:
         return key in self._keys
 
-    def keep(self, kept: int) -> None:
+    def set_limit(self, kept: int) -> None:
         """Take another bound."""
         self._kept = kept
         self._drop_oldest()
--- a/hawthornlead/gateway/request_forwards.py
+++ b/hawthornlead/gateway/request_forwards.py
@@ -13,7 +13,7 @@
 from ..platform.headers import read_caller_request
 from .caller_calls import CallerCall
 from .gateway_parts import GatewayParts
-from .placers import Placed, Wanted
+from .placers import Placed, PlacementRequest
 from .records import CallerRequest, Route, Workspace
 from .request_reporters import RequestReporter
 from .routes import choose_service
@@ -149,7 +149,7 @@
             self._report.refuse(failure._replace(kind=ErrorKind.OVERLOADED))
             return
         while True:
-            wanted = Wanted(
+            wanted = PlacementRequest(
                 route,
                 service,
                 self._request,
@@ -165,7 +165,7 @@
             try:
                 ending = await self._attempt(route, service, placed.ok_value)
             finally:
-                self._parts.placer.note_ended(placed.ok_value)
+                self._parts.placer.notify_ended(placed.ok_value)
             if ending is None:
                 return
             if not await self._goes_on(route, placed.ok_value, ending):
@@ -177,7 +177,7 @@
         """Send the request to its target; None if it isn't sent to any after all."""
         if self._call.left:
             return None
-        if self._report.sent and not self._parts.budget(service).take():
+        if self._report.sent and not self._parts.budget(service).acquire():
             self._end_unplaced(
                 Failure(ErrorKind.OVERLOADED, "the retry budget is spent", 0.5)
             )
--- a/hawthornlead/gateway/target_attempts.py
+++ b/hawthornlead/gateway/target_attempts.py
@@ -322,7 +322,7 @@
             return AttemptOutcome.REFUSED
         if not self._parts.targets.is_current(entry):
             return AttemptOutcome.REFUSED
-        self._parts.placer.note_missing(entry.target, key)
+        self._parts.placer.notify_missing(entry.target, key)
         if status == ANOTHER_ID and placed.candidate.holding is Holding.READY:
             # One that was loaded for this request is said to be there by foresight and
             # may be late. Given up, it would be fetched again at the next engine, and
--- a/hawthornlead/operators/statuses.py
+++ b/hawthornlead/operators/statuses.py
@@ -97,7 +97,7 @@
             "owner": view.owner_vm,
             "leaving": view.leaving,
             "residents": _residents(view),
-            "heard_s_ago": _ago(parts, view.heard_at),
+            "heard_s_ago": _ago(parts, view.last_seen_at),
         }
         for view in parts.views.views()
     ]
--- a/hawthornlead/tests/fakes_owned_engines.py
+++ b/hawthornlead/tests/fakes_owned_engines.py
@@ -163,7 +163,7 @@
         """Return the requests under way."""
         return self.adapters
 
-    def told_every_s(self):
+    def announce_interval_s(self):
         """Return how often VMs tell of theirs."""
         return 0.02
 
--- a/hawthornlead/tests/fakes_views.py
+++ b/hawthornlead/tests/fakes_views.py
@@ -29,7 +29,7 @@
         "base_models": ("base",),
         "owner_vm": "vm1",
         "state": state,
-        "heard_at": 0.0,
+        "last_seen_at": 0.0,
         "leaving": leaving,
     }
     return TargetView(**{**values, **fields})
--- a/hawthornlead/tests/measure_parts.py
+++ b/hawthornlead/tests/measure_parts.py
@@ -129,7 +129,7 @@
         for state in states
     ]
     for frame in frames:
-        views.take(decode(frame, 1 << 20).unwrap().message)
+        views.apply_state(decode(frame, 1 << 20).unwrap().message)
     views.views()
     resident = usage().resident
     decode_s = timed(lambda: decode(frames[0], 1 << 20))
@@ -197,7 +197,7 @@
 
     def rebuild():
         serial[0] += 1
-        views.take(state._replace(serial=serial[0]))
+        views.apply_state(state._replace(serial=serial[0]))
         views.views()
 
     return rebuild
--- a/hawthornlead/tests/test_former_starts.py
+++ b/hawthornlead/tests/test_former_starts.py
@@ -101,9 +101,9 @@
         await all_know(deployment, engine)
         given = len(engine.orders)
         (room,) = [
-            gateway._room
+            gateway._engine_manager
             for gateway in deployment.gateways
-            if engine.target in gateway._room.owned
+            if engine.target in gateway._engine_manager.owned
         ]
         owner = room._owners[engine.target]
         sender = deployment.gateways[0]._mesh.live[0]
--- a/hawthornlead/tests/test_gateway_decisions.py
+++ b/hawthornlead/tests/test_gateway_decisions.py
@@ -149,7 +149,7 @@
     assert slots.victim(now=10.0) == key("a3")
     slots.remove(key("a3"))
     assert slots.victim(now=10.0 + JUST_USED_S / 2) is None
-    assert slots.victim(now=10.0 + 2 * JUST_USED_S, told_every_s=1.0) is None
+    assert slots.victim(now=10.0 + 2 * JUST_USED_S, announce_interval_s=1.0) is None
     assert slots.victim(now=10.0 + 2 * JUST_USED_S) == key("a2")
 
 
@@ -167,9 +167,9 @@
         slots.note_turn(key("a1"), vm, at=10.0)
     slots.end_turn(key("a1"), "vm-1")
     slots.end_turn(key("a1"), "vm-2")
-    assert slots.victim(now=10.1, told_every_s=0.24) is None
+    assert slots.victim(now=10.1, announce_interval_s=0.24) is None
     slots.end_turn(key("a1"), "vm-1")
-    assert slots.victim(now=10.1, told_every_s=0.24) == key("a1")
+    assert slots.victim(now=10.1, announce_interval_s=0.24) == key("a1")
 
 
 def test_a_turn_whose_end_is_never_told_is_dropped():
@@ -192,7 +192,7 @@
     slots.take_report(report(ready=("a1",)), now=0.0)
     slots.note_turn(key("a1"), "vm-1", at=10.0)
     slots.end_turn(key("a1"), "vm-2")
-    assert slots.victim(now=10.1, told_every_s=0.24) is None
+    assert slots.victim(now=10.1, announce_interval_s=0.24) is None
 
 
 def test_an_adapter_that_has_just_come_waits_for_who_asked_for_it():
@@ -283,7 +283,7 @@
         open_requests=lambda: open_requests[0],
     )
     assert drain.refusal() is None
-    drain.begin()
+    drain.start()
     assert drain.refusal() is None
     await timers.advance(5.0)
     assert drain.refusal().retry_after_s == 0
@@ -298,7 +298,7 @@
     drain = Drain(
         timers=timers, grace_s=8.0, keep_answer_s=1.0, open_requests=lambda: 1
     )
-    drain.begin()
+    drain.start()
     await timers.advance(2.0)
     assert drain.refusal(20.0) is None
     await timers.advance(2.0)
--- a/hawthornlead/tests/test_gateway_drains.py
+++ b/hawthornlead/tests/test_gateway_drains.py
@@ -62,14 +62,14 @@
     async with Deployment() as deployment:
         first = deployment.gateways[0]
         await deployment.until(
-            lambda: sum(len(g._room.owned) for g in deployment.gateways) == 2
+            lambda: sum(len(g._engine_manager.owned) for g in deployment.gateways) == 2
         )
-        owned = first._room.owned
+        owned = first._engine_manager.owned
         before = {target: deployment.owner_fence(target) for target in ("e1", "e2")}
         await first.drain()
         second = deployment.gateways[1]
         for target in owned:
-            await deployment.until(lambda t=target: t in second._room.owned)
+            await deployment.until(lambda t=target: t in second._engine_manager.owned)
         for target, fence in before.items():
             after = deployment.owner_fence(target)
             assert after > fence if target in owned else after == fence
@@ -85,10 +85,10 @@
     async with Deployment() as deployment:
         both = {engine.target for engine in deployment.engines}
         leaving, staying = deployment.gateways
-        if not leaving._room.owned:
+        if not leaving._engine_manager.owned:
             leaving, staying = staying, leaving
         draining = asyncio.create_task(leaving.drain())
-        await deployment.until(lambda: set(staying._room.owned) == both)
+        await deployment.until(lambda: set(staying._engine_manager.owned) == both)
         assert not draining.done()
         for gateway in deployment.gateways:
             await deployment.until(
@@ -123,7 +123,7 @@
         target = next(e.target for e in deployment.engines if e.ran)
         leaving, staying = deployment.gateways
         draining = asyncio.create_task(leaving.drain())
-        told = staying._room
+        told = staying._engine_manager
         await deployment.until(lambda: told.running(target).get(key) == 1)
         await asyncio.sleep(TOLD_KEPT_S + 0.5)
         assert not asking.done()
@@ -141,19 +141,19 @@
     async with Deployment() as deployment:
         both = {engine.target for engine in deployment.engines}
         leaving, staying = deployment.gateways
-        if not leaving._room.owned:
+        if not leaving._engine_manager.owned:
             leaving, staying = staying, leaving
-        owned = set(leaving._room.owned)
+        owned = set(leaving._engine_manager.owned)
         leaving._drain._grace_s = 8.0
         deployment.store.fault = "busy"
         draining = asyncio.create_task(leaving.drain())
         await asyncio.sleep(0.5)
-        assert set(leaving._room.owned) == owned
+        assert set(leaving._engine_manager.owned) == owned
         vm = deployment.gateways.index(staying)
         answer = await deployment.ask("/stream/x", vm=vm, Model=f"{MODEL}/a9")
         assert answer.status == 200
         deployment.store.fault = ""
-        await deployment.until(lambda: set(staying._room.owned) == both)
+        await deployment.until(lambda: set(staying._engine_manager.owned) == both)
         assert not draining.done()
         await draining
 
@@ -165,12 +165,12 @@
     again within a second, when another VM had claimed the engine and ordered it.
     """
     async with Deployment() as deployment:
-        leaving = next(g for g in deployment.gateways if g._room.owned)
-        target = leaving._room.owned[0]
+        leaving = next(g for g in deployment.gateways if g._engine_manager.owned)
+        target = leaving._engine_manager.owned[0]
         engine = next(e for e in deployment.engines if e.target == target)
         for each in deployment.engines:
             each.mute_orders = 100
-        owner = leaving._room._owners[target]
+        owner = leaving._engine_manager._owners[target]
         wanted = SlotRequest(AdapterKey(MODEL, "a5"), 0, 0.0, 0.0)
         loading = asyncio.create_task(owner.load(wanted, 0, 5.0))
         await deployment.until(lambda: engine.orders)
--- a/hawthornlead/tests/test_gateway_restarts.py
+++ b/hawthornlead/tests/test_gateway_restarts.py
@@ -103,9 +103,11 @@
         await all_know(deployment, engine)
         for gateway in deployment.gateways:
             assert holding(gateway, engine) is Holding.ABSENT
-        owners = [g for g in deployment.gateways if engine.target in g._room.owned]
+        owners = [
+            g for g in deployment.gateways if engine.target in g._engine_manager.owned
+        ]
         assert len(owners) == 1
-        owner = owners[0]._room._owners[engine.target]
+        owner = owners[0]._engine_manager._owners[engine.target]
         assert owner.incarnation.started_ms == engine.born
         await served(deployment)
         assert {order["fence"] for order in engine.orders} == {fence}
@@ -156,7 +158,7 @@
         (deaf,) = [
             gateway
             for gateway in deployment.gateways
-            if engine.target not in gateway._room.owned
+            if engine.target not in gateway._engine_manager.owned
         ]
         deaf._watchers[TARGETS_KIND]._on_changed = lambda record: None
         await engine.restart()
@@ -184,7 +186,7 @@
         deployment.register(engine)
 
         def owners():
-            rooms = [gateway._room for gateway in deployment.gateways]
+            rooms = [gateway._engine_manager for gateway in deployment.gateways]
             found = [room._owners.get(engine.target) for room in rooms]
             return [owner for owner in found if owner is not None]
 
--- a/hawthornlead/tests/test_gateways.py
+++ b/hawthornlead/tests/test_gateways.py
@@ -204,7 +204,7 @@
     async with Deployment() as deployment:
 
         def owned():
-            rooms = [gateway._room for gateway in deployment.gateways]
+            rooms = [gateway._engine_manager for gateway in deployment.gateways]
             return [target for room in rooms for target in room.owned]
 
         await deployment.until(lambda: sorted(owned()) == ["e1", "e2"])
@@ -284,7 +284,7 @@
     "may have run", was told as if it were the request's own.
     """
     async with Deployment(vms=1) as deployment:
-        owners = deployment.gateways[0]._room._owners.values()
+        owners = deployment.gateways[0]._engine_manager._owners.values()
         for owner in owners:
 
             async def no_report():
--- a/hawthornlead/tests/test_holding_announcements.py
+++ b/hawthornlead/tests/test_holding_announcements.py
@@ -38,7 +38,7 @@
             own=lambda: tuple(self.owned),
             on_told=self._note,
         )
-        mesh.on_fed = self.words.tell_all
+        mesh.on_fed = self.words.announce_all
         self.words.start()
 
     def _note(self, owner, holdings):
@@ -89,7 +89,7 @@
     """
     owner = large.vms["bilbao-3"]
     for number in range(1, 6):
-        owner.words.tell(holds("e1", f"a{number}", number=number))
+        owner.words.announce(holds("e1", f"a{number}", number=number))
     await large.fleet.settle(TOLD_S)
     for vm in large.others("bilbao-3"):
         told_by, told = vm.told["e1"]
@@ -101,7 +101,7 @@
 async def test_words_of_all_data_centres_reach_all(large):
     for place in PLACES:
         name = f"{place}-5"
-        large.vms[name].words.tell(holds(f"e-{place}", "a1"))
+        large.vms[name].words.announce(holds(f"e-{place}", "a1"))
     await large.fleet.settle(TOLD_S)
     for place in PLACES:
         for vm in large.others(f"{place}-5"):
@@ -128,7 +128,7 @@
         large.fleet.kill(name)
     owner = next(name for name in large.vms if name.startswith("gijon"))
     await large.fleet.settle(0.1)
-    large.vms[owner].words.tell(holds("e1", "a1"))
+    large.vms[owner].words.announce(holds("e1", "a1"))
     await large.fleet.settle(3.0)
     for vm in large.others(owner):
         assert vm.told["e1"][0] == owner
@@ -139,7 +139,7 @@
 
     It heard of an engine only when something changed there, or when all was told again.
     """
-    large.vms["gijon-2"].words.tell(holds("e1", "a1"))
+    large.vms["gijon-2"].words.announce(holds("e1", "a1"))
     await large.fleet.settle(TOLD_S)
     large.restart("santander-8")
     await large.fleet.settle(1.5)
@@ -149,7 +149,7 @@
 async def test_a_small_fleet_tells_at_once():
     fleet = HoldingFleet({"gijon": 5, "bilbao": 4})
     await fleet.fleet.settle(1.0)
-    fleet.vms["gijon-2"].words.tell(holds("e1", "a1"))
+    fleet.vms["gijon-2"].words.announce(holds("e1", "a1"))
     await let_run()
     for vm in fleet.others("gijon-2"):
         assert vm.told["e1"][0] == "gijon-2"
--- a/hawthornlead/tests/test_load_announcements.py
+++ b/hawthornlead/tests/test_load_announcements.py
@@ -130,7 +130,7 @@
     fleet.vms["bilbao-3"].loads.began("i-1", KEY)
     for vm in fleet.vms.values():
         vm.heard.clear()
-        vm.words.tell()
+        vm.words.announce()
     await let_run()
     assert running(fleet) == {1}
     assert {vm.heard["GroupUpdate"] for vm in fleet.vms.values()} == {0}
--- a/hawthornlead/tests/test_placements.py
+++ b/hawthornlead/tests/test_placements.py
@@ -76,7 +76,7 @@
         popularity.observe("hot", step / 10, count=1)
     popularity.observe("cold", 99.0)
     hot, cold = FakeAssignment("hot"), FakeAssignment("cold")
-    assert placement.spare(hot, views, popularity, 100.0) == "t2"
-    assert placement.spare(cold, views, popularity, 100.0) is None
+    assert placement.choose_hot_copy(hot, views, popularity, 100.0) == "t2"
+    assert placement.choose_hot_copy(cold, views, popularity, 100.0) is None
     both = [make_view("t1", "hot"), make_view("t2", "hot")]
-    assert placement.spare(hot, both, popularity, 100.0) is None
+    assert placement.choose_hot_copy(hot, both, popularity, 100.0) is None
--- a/hawthornlead/tests/test_placers.py
+++ b/hawthornlead/tests/test_placers.py
@@ -6,7 +6,7 @@
 
 from hawthornlead.errors import ErrorKind, Failure
 from hawthornlead.gateway.gateway_metrics import GatewayMetrics
-from hawthornlead.gateway.placers import Placer, Wanted
+from hawthornlead.gateway.placers import PlacementRequest, Placer
 from hawthornlead.gateway.records import (
     CallerRequest,
     Configuration,
@@ -165,11 +165,11 @@
             metrics=GatewayMetrics(CollectorRegistry()),
             run_times=RunTimes(),
         )
-        self.placer.take(Configuration(1, (ROUTE,), (SERVICE,), None))
+        self.placer.apply_configuration(Configuration(1, (ROUTE,), (SERVICE,), None))
 
     async def place(self):
         now = self.timers.now()
-        wanted = Wanted(ROUTE, "llm", REQUEST, now, now + 4.0, frozenset())
+        wanted = PlacementRequest(ROUTE, "llm", REQUEST, now, now + 4.0, frozenset())
         return await self.placer.place(wanted)
 
 
--- a/hawthornlead/tests/test_popularity_exchanges.py
+++ b/hawthornlead/tests/test_popularity_exchanges.py
@@ -10,8 +10,8 @@
     MAX_WAITING,
     MESSAGE_BYTES,
     SEND_BYTES_PER_S,
+    PendingCounts,
     PopularityExchange,
-    WaitingCounts,
     pace,
 )
 from hawthornlead.mesh.codecs import Frame, encode
@@ -123,23 +123,23 @@
 @pytest.mark.parametrize("receivers", [1, 8, 40, 100, 369, 1000])
 def test_no_more_bytes_than_allowed(receivers):
     current = pace(receivers)
-    waiting = WaitingCounts()
+    waiting = PendingCounts()
     for number in range(3000):
         waiting.add(f"adapter-of-a-usual-length-{number}")
-    message = PopularityCounts(2**40, waiting.take(current.message_bytes))
+    message = PopularityCounts(2**40, waiting.pop_largest(current.message_bytes))
     at = HybridTime(2**44, 2**10)
     size = len(encode(Frame(0, 0, at, message), 1 << 20).unwrap())
     assert size <= max(MESSAGE_BYTES, 64)
     if receivers <= 369:
         assert message.counts
-        assert size * receivers / current.pause_s <= SEND_BYTES_PER_S
+        assert size * receivers / current.interval_s <= SEND_BYTES_PER_S
 
 
 def test_what_does_not_fit_is_told_later_and_the_memory_is_bounded():
-    waiting = WaitingCounts()
+    waiting = PendingCounts()
     for number in range(3 * MAX_WAITING):
         waiting.add("hot")
         waiting.add(f"one-off-{number}")
     assert len(waiting) <= MAX_WAITING
-    assert waiting.take(100)[0] == ("hot", 3 * MAX_WAITING)
-    assert waiting.take(100)[0].count == 1
+    assert waiting.pop_largest(100)[0] == ("hot", 3 * MAX_WAITING)
+    assert waiting.pop_largest(100)[0].count == 1
--- a/hawthornlead/tests/test_run_times.py
+++ b/hawthornlead/tests/test_run_times.py
@@ -7,7 +7,7 @@
 from prometheus_client import CollectorRegistry
 
 from hawthornlead.gateway.gateway_metrics import GatewayMetrics
-from hawthornlead.gateway.placers import Placer, Wanted
+from hawthornlead.gateway.placers import PlacementRequest, Placer
 from hawthornlead.gateway.records import (
     CallerRequest,
     Configuration,
@@ -98,7 +98,7 @@
             metrics=GatewayMetrics(CollectorRegistry()),
             run_times=self.times,
         )
-        self._placer.take(Configuration(1, (ROUTE,), (PLAIN,), None))
+        self._placer.apply_configuration(Configuration(1, (ROUTE,), (PLAIN,), None))
 
     async def ask(self) -> float | None:
         """Send a request; return how long its answer takes, None if it is refused."""
@@ -106,7 +106,9 @@
         while self._ends and self._ends[0][0] <= now:
             _, target = heapq.heappop(self._ends)
             self._load.counts[target] -= 1
-        wanted = Wanted(ROUTE, "bulletins", REQUEST, now, now + DEADLINE_S, frozenset())
+        wanted = PlacementRequest(
+            ROUTE, "bulletins", REQUEST, now, now + DEADLINE_S, frozenset()
+        )
         placed = await self._placer.place(wanted)
         if placed.is_err():
             return None
--- a/hawthornlead/tests/test_target_choices.py
+++ b/hawthornlead/tests/test_target_choices.py
@@ -1,6 +1,6 @@
 """Tests of the choice of a target, played without a network."""
 
-from hawthornlead.gateway.adapter_homes import MOST_KEPT, AdapterHomes
+from hawthornlead.gateway.adapter_homes import MAX_CACHED_ADAPTERS, AdapterHomes
 from hawthornlead.gateway.target_choices import (
     MOST_HOMES,
     Candidate,
@@ -110,9 +110,9 @@
     assert sorted(before) == ["e1", "e2", "e3"]
     after = homes.of("tide/a1", ("e1", "e3"))
     assert after == tuple(name for name in before if name != "e2")
-    for number in range(MOST_KEPT + 10):
+    for number in range(MAX_CACHED_ADAPTERS + 10):
         homes.of(f"tide/a{number}", ("e1", "e3"))
-    assert len(homes._homes) == MOST_KEPT
+    assert len(homes._homes) == MAX_CACHED_ADAPTERS
 
 
 def test_a_long_prompt_goes_where_few_streams_run():
--- a/hawthornlead/tests/test_views.py
+++ b/hawthornlead/tests/test_views.py
@@ -28,7 +28,7 @@
 
 def test_view_joins_vm_list_owner_and_state():
     views = _views(FakeVmList(engine_entry("engine-1"), engine_entry("engine-2")))
-    assert views.take(_state(3, 1))
+    assert views.apply_state(_state(3, 1))
     first, second = views.views()
     assert (first.owner_vm, first.state.serial, first.leaving) == ("vm-2", 1, False)
     assert (second.owner_vm, second.state, second.base_models) == ("", None, ("base",))
@@ -41,10 +41,10 @@
     The successor told earlier, under a greater fence; that stays.
     """
     views = _views(FakeVmList(engine_entry("engine-1")))
-    assert views.take(_state(4, 1))
-    assert not views.take(_state(3, 99))
+    assert views.apply_state(_state(4, 1))
+    assert not views.apply_state(_state(3, 99))
     assert views.view("engine-1").state.fence == 4
-    assert not views.take(_state(4, 0))
+    assert not views.apply_state(_state(4, 0))
 
 
 def test_leaving_target_is_told_by_vm_list_or_owner():
@@ -53,7 +53,7 @@
     assert views.view("engine-1").leaving
     vm_list.entries = [engine_entry("engine-1")]
     vm_list.changed()
-    views.take(_state(3, 1, leaving=True))
+    views.apply_state(_state(3, 1, leaving=True))
     assert views.view("engine-1").leaving
     vm_list.entries = []
     vm_list.changed()
@@ -69,7 +69,7 @@
     entries = [engine_entry(f"engine-{number}") for number in range(1, 6)]
     views = _views(FakeVmList(*entries))
     before = views.views()
-    assert views.take(_state(3, 1))
+    assert views.apply_state(_state(3, 1))
     after = views.views()
     assert after[0].state.serial == 1 and before[0].state is None
     assert [each.target for each in after] == [each.target for each in before]
