--- a/hawthornlead/engines/allowances.py
+++ b/hawthornlead/engines/allowances.py
@@ -34,7 +34,7 @@
 from .load_pacers import LoadPacer
 
 # A load must start within this time of its permit.
-START_S = 2.0
+START_TIMEOUT_S = 2.0
 
 
 def allowance_resource(weight_store: str) -> str:
@@ -82,16 +82,16 @@
         self._ownership = ownership
         self._stopped = False
         self._ends_at: dict[str, float] = {}
-        self._spacing = LoadPacer()
+        self._pacer = LoadPacer()
         self._waiters: list[_Waiter] = []
         self._opens_at = ownership.taken_at
         if ownership.predecessor or ownership.fence > 1:
-            self._opens_at += self._permit_s()
+            self._opens_at += self._permit_lifetime_s()
 
     @property
-    def out(self) -> int:
+    def outstanding(self) -> int:
         """How many permits have not ended."""
-        self._sweep()
+        self._expire_permits()
         return len(self._ends_at)
 
     @property
@@ -104,21 +104,21 @@
         self._stopped = True
         self._wake()
 
-    async def acquire(self, ask: AcquireLoad) -> Result[LoadPermit, Failure]:
-        """Wait for leave, ``ask.wait_s`` at most; refuse at once what can't be made."""
-        asked_at = self._timers.now()
-        deadline_at = asked_at + ask.wait_s
+    async def acquire(self, permit_request: AcquireLoad) -> Result[LoadPermit, Failure]:
+        """Wait ``permit_request.wait_s`` at most for a permit, or refuse at once."""
+        requested_at = self._timers.now()
+        deadline_at = requested_at + permit_request.wait_s
         expected_s = self.expected_wait_s()
-        if expected_s > ask.wait_s:
+        if expected_s > permit_request.wait_s:
             return self._refusal("the weight store's loads are spoken for", expected_s)
         waiter = _Waiter(
             LoadRequest(
-                ask.adapter,
-                ask.version,
-                ask.priority,
+                permit_request.adapter,
+                permit_request.version,
+                permit_request.priority,
                 deadline_at,
-                asked_at,
-                ask.waiting,
+                requested_at,
+                permit_request.waiting,
             )
         )
         self._waiters.append(waiter)
@@ -130,9 +130,9 @@
                 now = self._timers.now()
                 if now >= deadline_at:
                     return self._refusal("no load came free", self.expected_wait_s())
-                pause = self._pause_s()
-                if pause <= 0 and self._first() is waiter:
-                    return Ok(self._issue(now - asked_at))
+                pause = self._delay_s()
+                if pause <= 0 and self._next_waiter() is waiter:
+                    return Ok(self._issue(now - requested_at))
                 pause = min(deadline_at - now, max(pause, 0.001))
                 await waiter.changed.wait(self._timers, pause)
         finally:
@@ -141,9 +141,9 @@
 
     def release(self, permit_id: str, loaded: bool) -> None:
         """End a permit: its load has ended, well or not."""
-        self._spacing.ended(permit_id, self._timers.now(), loaded)
+        self._pacer.record_end(permit_id, self._timers.now(), loaded)
         if self._ends_at.pop(permit_id, None) is not None:
-            self._count()
+            self._update_gauge()
             self._wake()
 
     def expected_wait_s(self) -> float:
@@ -159,7 +159,7 @@
             return OrderRight.NONE
         return self._owners.right(allowance_resource(self._weight_store), 0.0)
 
-    def _half(self) -> bool:
+    def _is_halved(self) -> bool:
         if self._right() is not OrderRight.FULL:
             return True
         owned = self._owners.owned(allowance_resource(self._weight_store))
@@ -167,59 +167,59 @@
         return owned is None or not owned.predecessor_stopped
 
     def _rate(self) -> float:
-        share = 0.5 if self._half() else 1.0
+        share = 0.5 if self._is_halved() else 1.0
         return self._settings["LOADS_PER_S"] * share
 
-    def _at_once(self) -> int:
+    def _max_concurrent(self) -> int:
         whole = self._settings["LOADS_AT_ONCE"]
-        return max(1, whole // 2) if self._half() else whole
+        return max(1, whole // 2) if self._is_halved() else whole
 
-    def _permit_s(self) -> float:
+    def _permit_lifetime_s(self) -> float:
         error = self._settings["CLOCK_RATE_ERROR"]
-        return (START_S + self._settings["LOAD_S"]) * (1 + 2 * error)
+        return (START_TIMEOUT_S + self._settings["LOAD_S"]) * (1 + 2 * error)
 
-    def _pause_s(self) -> float:
+    def _delay_s(self) -> float:
         """Return how long until a permit may be given out, by what is known now."""
-        self._sweep()
+        self._expire_permits()
         now = self._timers.now()
         pause = self._opens_at - now
-        if len(self._ends_at) >= self._at_once():
+        if len(self._ends_at) >= self._max_concurrent():
             pause = max(pause, min(self._ends_at.values()) - now)
         # At most `loads` starts in any stretch of `span` seconds, which lets
         # LOADS_AT_ONCE start together after a quiet time and no more than the rate.
         loads = max(1, int(self._rate()))
         span = loads / self._rate()
-        return max(pause, self._spacing.pause_s(loads, span, now))
+        return max(pause, self._pacer.delay_s(loads, span, now))
 
     def _issue(self, waited_s: float) -> LoadPermit:
         now = self._timers.now()
         permit_id = f"{self._ownership.fence}-{self._rng.getrandbits(64):016x}"
-        self._ends_at[permit_id] = now + self._permit_s()
-        self._spacing.given(permit_id, now)
+        self._ends_at[permit_id] = now + self._permit_lifetime_s()
+        self._pacer.record_permit(permit_id, now)
         self._invariants.check(
             "allowance-not-exceeded",
             len(self._ends_at) <= self._settings["LOADS_AT_ONCE"]
             and now >= self._opens_at,
             f"{self._weight_store} out={len(self._ends_at)}",
         )
-        self._count()
-        return LoadPermit(permit_id, waited_s + START_S)
+        self._update_gauge()
+        return LoadPermit(permit_id, waited_s + START_TIMEOUT_S)
 
-    def _first(self) -> _Waiter:
+    def _next_waiter(self) -> _Waiter:
         return min(self._waiters, key=lambda waiter: self._order.key(waiter.request))
 
-    def _sweep(self) -> None:
+    def _expire_permits(self) -> None:
         now = self._timers.now()
         for permit_id, ends_at in list(self._ends_at.items()):
             if now >= ends_at:
                 del self._ends_at[permit_id]
-                self._spacing.ended(permit_id, now, loaded=False)
+                self._pacer.record_end(permit_id, now, loaded=False)
 
     def _wake(self) -> None:
         for waiter in self._waiters:
             waiter.changed.fire()
 
-    def _count(self) -> None:
+    def _update_gauge(self) -> None:
         gauge = self._metrics.load_permits.labels(self._weight_store)
         gauge.set(len(self._ends_at))
 
@@ -258,12 +258,12 @@
     async def stop(self) -> None:
         """Hand out nothing more."""
         for weight_store in list(self._held):
-            self.lost(allowance_resource(weight_store))
+            self.on_lost(allowance_resource(weight_store))
 
-    def taken(self, ownership) -> None:
+    def on_taken(self, ownership) -> None:
         """Begin to hold an allowance that this VM has come to own."""
         weight_store = ownership.resource.partition(":")[2]
-        self.lost(ownership.resource)
+        self.on_lost(ownership.resource)
         self._held[weight_store] = LoadAllowance(
             core=self._core,
             owners=self._owners,
@@ -275,7 +275,7 @@
             EventKind.ALLOWANCE_OWNED, weight_store, fence=ownership.fence
         )
 
-    def lost(self, resource: str) -> None:
+    def on_lost(self, resource: str) -> None:
         """End holding an allowance."""
         weight_store = resource.partition(":")[2]
         allowance = self._held.pop(weight_store, None)
@@ -303,11 +303,11 @@
             return Err(Failure(ErrorKind.NO_GRANT, detail, retry_after_s=1.0))
         # The permit's time counts from here, before the holder can have begun it.
         sent_at = self._timers.now()
-        ask = AcquireLoad(
+        permit_request = AcquireLoad(
             weight_store, target, key.adapter, key.version, priority, wait_s, waiting
         )
         reply = await self._mesh.call(
-            owner.vm, ask, timeout_s=wait_s + self._settings["PEER_CALL_S"]
+            owner.vm, permit_request, timeout_s=wait_s + self._settings["PEER_CALL_S"]
         )
         if isinstance(reply, Err):
             return reply
@@ -332,11 +332,11 @@
         message = ReleaseLoad(permit.weight_store, permit.permit_id, loaded)
         send(self._mesh, permit.holder_vm, message)
 
-    async def _on_acquire(self, sender, ask: AcquireLoad):
-        allowance = self._held.get(ask.weight_store)
+    async def _on_acquire(self, sender, permit_request: AcquireLoad):
+        allowance = self._held.get(permit_request.weight_store)
         if allowance is None:
             return Failed(ErrorKind.NO_GRANT.value, "not the allowance's holder", 0.5)
-        outcome = await allowance.acquire(ask)
+        outcome = await allowance.acquire(permit_request)
         if isinstance(outcome, Err):
             failure = outcome.err_value
             return Failed(failure.kind.value, failure.detail, failure.retry_after_s)
--- a/hawthornlead/engines/engine_clocks.py
+++ b/hawthornlead/engines/engine_clocks.py
@@ -10,7 +10,7 @@
 from collections import deque
 from typing import NamedTuple
 
-PROBES_KEPT = 64
+MAX_PROBES = 64
 
 
 class _Probe(NamedTuple):
@@ -23,7 +23,7 @@
 
     def __init__(self):
         self._boot_id: str | None = None
-        self._probes: deque[_Probe] = deque(maxlen=PROBES_KEPT)
+        self._probes: deque[_Probe] = deque(maxlen=MAX_PROBES)
 
     @property
     def boot_id(self) -> str | None:
@@ -35,7 +35,7 @@
         """When the newest probe was sent, on the owner's clock."""
         return self._probes[-1].sent_at if self._probes else None
 
-    def note(self, sent_at: float, engine_now: float, boot_id: str) -> bool:
+    def record_probe(self, sent_at: float, engine_now: float, boot_id: str) -> bool:
         """Note an answered probe; return whether the engine has restarted.
 
         Probes must not overlap: then a different ``boot_id`` is a later start.
--- a/hawthornlead/engines/evict_guards.py
+++ b/hawthornlead/engines/evict_guards.py
@@ -9,7 +9,7 @@
 from .grant_ledgers import GrantLedger
 
 # How long an accepted fence order lets a degraded owner go on granting.
-FENCE_FRESH_S = 2.0
+FENCE_MAX_AGE_S = 2.0
 
 
 class EvictGuard:
@@ -39,16 +39,16 @@
         self._ready = False
         self._orders_end_at = ownership.orders_end_at
         # Nobody owned the target before, so nobody's grants or orders are about.
-        self._first = not ownership.predecessor and ownership.fence <= 1
+        self._is_first_owner = not ownership.predecessor and ownership.fence <= 1
         self._right_since: float | None = None
         # GRA-9: a predecessor's grants are unknown here. Taken for none, its requests
         # would lose their adapters; so all count as out until they must have ended.
-        if self._first:
+        if self._is_first_owner:
             self._stopped = True
         elif self._stopped:
-            self._distrust_from(ownership.taken_at)
+            self._assume_grants_since(ownership.taken_at)
         else:
-            ledger.distrust_until(None)
+            ledger.assume_unknown_until(None)
 
     @property
     def needs_fence(self) -> bool:
@@ -102,12 +102,12 @@
             return False
         return self._clock.boot_id in (None, self._fenced_boot)
 
-    def has_right(self) -> None:
+    def record_right(self) -> None:
         """Note that this owner has the right to order."""
         if self._right_since is None:
             self._right_since = self._timers.now()
 
-    def fenced(self, sent_at: float, answered_at: float, boot_id: str) -> bool:
+    def record_fenced(self, sent_at: float, answered_at: float, boot_id: str) -> bool:
         """Note that the target accepted a fence order of this owner's number.
 
         False when that was another start of the target than the present one, or
@@ -126,18 +126,20 @@
             # OWN-10: the predecessor's last accepted fence order may just precede
             # ours, and it grants for that freshness after it. Its last grant must
             # have run out too before anything is evicted.
-            self._distrust_from(answered_at + self._stretched(FENCE_FRESH_S))
+            self._assume_grants_since(
+                answered_at + self._with_clock_error(FENCE_MAX_AGE_S)
+            )
         return True
 
-    def fence_fresh(self) -> bool:
+    def fence_is_fresh(self) -> bool:
         """Whether a fence order was accepted lately enough to grant while degraded."""
         if not self._fencing:
             return True
         if self._fenced_at is None or not self._is_fenced:
             return False
-        return self._timers.now() - self._fenced_at < FENCE_FRESH_S
+        return self._timers.now() - self._fenced_at < FENCE_MAX_AGE_S
 
-    def predecessor_gone(self) -> None:
+    def on_predecessor_stopped(self) -> None:
         """Note a positive proof that the predecessor has stopped, found later.
 
         What it granted until now runs out like any other unknown grant.
@@ -146,7 +148,7 @@
             return
         self._stopped = True
         if not self._is_fenced:
-            self._distrust_from(self._timers.now())
+            self._assume_grants_since(self._timers.now())
 
     def observe(self, as_of: float) -> None:
         """Note that a report of the engine time ``as_of`` was merged."""
@@ -154,21 +156,21 @@
         if after is not None and self._clock.proves_after(as_of, after):
             self._ready = True
 
-    def restarted(self) -> None:
+    def on_restart(self) -> None:
         """The target restarted, and has forgotten the fencing number."""
         self._ready = False
         self._fenced_at = None
         if self._fencing:
             self._first_fenced_at = None
 
-    def _distrust_from(self, stopped_at: float | None) -> None:
+    def _assume_grants_since(self, stopped_at: float | None) -> None:
         if stopped_at is None:
-            self._ledger.distrust_until(None)
+            self._ledger.assume_unknown_until(None)
             return
         # A grant that the predecessor gave right before it stopped may reach its
         # VM later, but its time counts from the asking.
-        moment = stopped_at + self._ledger.longest_s() + self._ledger.send_s()
-        self._ledger.distrust_until(moment)
+        moment = stopped_at + self._ledger.max_lifetime_s() + self._ledger.max_send_s()
+        self._ledger.assume_unknown_until(moment)
 
-    def _stretched(self, seconds: float) -> float:
+    def _with_clock_error(self, seconds: float) -> float:
         return seconds * (1 + 2 * self._settings["CLOCK_RATE_ERROR"])
--- a/hawthornlead/engines/exchanges.py
+++ b/hawthornlead/engines/exchanges.py
@@ -19,19 +19,19 @@
 from ..connection_pools import ConnectionPool
 from ..errors import ErrorKind, Failure
 from ..timers import TimerService
-from .grant_ledgers import SEND_S
+from .grant_ledgers import MAX_SEND_S
 
 # A target may close an idle connection at any time, and a request that crosses
 # with the closing is lost in doubt; a short idle time keeps that rare.
-IDLE_S = 5.0
+IDLE_TIMEOUT_S = 5.0
 MAX_IDLE_PER_TARGET = 64
-CONNECT_S = 2.0
+CONNECT_TIMEOUT_S = 2.0
 MAX_ANSWER_BYTES = 1 << 30
 
 DataCallback = Callable[[bytes], Awaitable[None] | None]
 
 
-class Head(NamedTuple):
+class ResponseHead(NamedTuple):
     """The status and headers of a response."""
 
     status: int
@@ -44,7 +44,7 @@
     def __init__(self, on_data: DataCallback, on_activity: Callable[[], None]):
         self._on_data = on_data
         self._on_activity = on_activity
-        self.head: asyncio.Future[Head | None] = (
+        self.head: asyncio.Future[ResponseHead | None] = (
             asyncio.get_running_loop().create_future()
         )
         self.finished = False
@@ -54,7 +54,7 @@
             return
         self._on_activity()
         if not self.head.done():
-            self.head.set_result(Head(start_line.code, headers))
+            self.head.set_result(ResponseHead(start_line.code, headers))
 
     def data_received(self, chunk):
         self._on_activity()
@@ -64,9 +64,9 @@
         self.finished = True
 
     def on_connection_close(self):
-        self.reading_ended()
+        self.on_reading_ended()
 
-    def reading_ended(self, reading: asyncio.Task | None = None) -> None:
+    def on_reading_ended(self, reading: asyncio.Task | None = None) -> None:
         """Note that nothing more will come."""
         if not self.head.done():
             self.head.set_result(None)
@@ -90,7 +90,7 @@
         self._reused = reused
         self._response: _Response | None = None
         self._reading: asyncio.Task | None = None
-        self._active_at = timers.now()
+        self._last_active_at = timers.now()
 
     @property
     def reused(self) -> bool:
@@ -98,7 +98,7 @@
         return self._reused
 
     @property
-    def head(self) -> Head | None:
+    def head(self) -> ResponseHead | None:
         """The status and headers of the response, None until they came."""
         if self._response is None or not self._response.head.done():
             return None
@@ -111,9 +111,9 @@
         headers: httputil.HTTPHeaders,
         body: bytes,
         on_data: DataCallback,
-        head_s: float,
-    ) -> Result[Head, Failure]:
-        """Send the request and wait up to ``head_s`` seconds for the headers.
+        head_timeout_s: float,
+    ) -> Result[ResponseHead, Failure]:
+        """Send the request and wait up to ``head_timeout_s`` seconds for the headers.
 
         From here on the request may have reached the target: every error is
         ``TARGET_LOST``. The body goes to ``on_data`` as it comes; a future that it
@@ -123,10 +123,10 @@
             no_keep_alive=False, max_body_size=MAX_ANSWER_BYTES
         )
         connection = HTTP1Connection(self._stream, True, params)
-        self._response = _Response(on_data, self._note_activity)
+        self._response = _Response(on_data, self._record_activity)
         headers["Host"] = self._address
         headers["Content-Length"] = str(len(body))
-        self._note_activity()
+        self._record_activity()
         start = httputil.RequestStartLine(method, path, "HTTP/1.1")
         connection.write_headers(start, headers, body)
         connection.finish()
@@ -134,21 +134,23 @@
         # A connection that ends before the headers ends the reading without a word
         # to the response; unnoticed, a dead target would look like a slow one until
         # the deadline, and the request that it died of would never be suspected.
-        self._reading.add_done_callback(self._response.reading_ended)
+        self._reading.add_done_callback(self._response.on_reading_ended)
         try:
-            head = await asyncio.wait_for(asyncio.shield(self._response.head), head_s)
+            head = await asyncio.wait_for(
+                asyncio.shield(self._response.head), head_timeout_s
+            )
         except TimeoutError:
-            return self._silent(f"no answer within {head_s:.1f} s")
+            return self._abort_silent(f"no answer within {head_timeout_s:.1f} s")
         if head is None:
             return Err(_lost(self._address, "closed before its answer"))
         return Ok(head)
 
-    async def read_to_end(self, silent_s: float) -> Result[None, Failure]:
-        """Wait for the end of the response, at most ``silent_s`` between bytes."""
+    async def read_to_end(self, silence_timeout_s: float) -> Result[None, Failure]:
+        """Wait for the response to end, or for ``silence_timeout_s`` without bytes."""
         while not self._reading.done():
-            left = self._active_at + silent_s - self._timers.now()
+            left = self._last_active_at + silence_timeout_s - self._timers.now()
             if left <= 0:
-                return self._silent(f"silent for {silent_s:.1f} s")
+                return self._abort_silent(f"silent for {silence_timeout_s:.1f} s")
             await asyncio.wait([self._reading], timeout=left)
         if not self._response.finished:
             self.close()
@@ -159,7 +161,7 @@
         """Give the connection back for reuse if its response came whole."""
         whole = self._response is not None and self._response.finished
         if whole and self._reading.done():
-            self._pool.keep(self._address, self._stream, IDLE_S)
+            self._pool.keep(self._address, self._stream, IDLE_TIMEOUT_S)
         else:
             self.close()
 
@@ -169,7 +171,7 @@
         if self._reading is not None:
             self._reading.add_done_callback(_consume)
 
-    def _silent(self, detail: str) -> Err[Failure]:
+    def _abort_silent(self, detail: str) -> Err[Failure]:
         # Whatever made this connection silent, something on the way that forgot it,
         # say, may have done so to all that are open. Reused one by one, each would
         # cost a request the whole time of silence and one retry of the budget.
@@ -177,8 +179,8 @@
         self._pool.forget(self._address)
         return Err(_lost(self._address, detail))
 
-    def _note_activity(self) -> None:
-        self._active_at = self._timers.now()
+    def _record_activity(self) -> None:
+        self._last_active_at = self._timers.now()
 
 
 class TargetConnections:
@@ -190,8 +192,8 @@
         # retransmissions, when a report has shown the adapter idle and it was evicted.
         self._pool = ConnectionPool(
             timers=timers,
-            connect_s=CONNECT_S,
-            unacknowledged_s=SEND_S,
+            connect_s=CONNECT_TIMEOUT_S,
+            unacknowledged_s=MAX_SEND_S,
             most_idle=MAX_IDLE_PER_TARGET,
         )
 
@@ -206,7 +208,7 @@
         """
         opened = await self._pool.open(address, fresh)
         return opened.map(
-            lambda stood: Exchange(self._pool, self._timers, address, *stood)
+            lambda opening: Exchange(self._pool, self._timers, address, *opening)
         )
 
     def close(self) -> None:
--- a/hawthornlead/engines/grant_issuers.py
+++ b/hawthornlead/engines/grant_issuers.py
@@ -25,7 +25,7 @@
 from .evict_guards import EvictGuard
 from .grant_ledgers import AdapterVersion, GrantLedger
 from .load_queues import Load, LoadQueue
-from .load_waits import no_room, wait_for_load
+from .load_waits import no_free_slot, wait_for_load
 from .loaders import Loader
 from .orders import TargetOrders
 from .owned_targets import Policies
@@ -77,32 +77,36 @@
     def leaving(self, leaving: bool) -> None:
         self._leaving = leaving
 
-    async def acquire(self, vm: str, ask: AcquireGrant) -> Result[GrantReply, Failure]:
+    async def acquire(
+        self, vm: str, request: AcquireGrant
+    ) -> Result[GrantReply, Failure]:
         """Give ``vm`` a grant, after a load where one is needed and in time."""
-        key = AdapterVersion(ask.adapter, ask.version)
-        asking = _Asking(vm, key, ask, self._now(), self._now() + ask.wait_s)
-        if not ask.prefetch:
-            self._popularity.observe(ask.adapter, self._now())
+        key = AdapterVersion(request.adapter, request.version)
+        pending = _PendingGrant(
+            vm, key, request, self._now(), self._now() + request.wait_s
+        )
+        if not request.prefetch:
+            self._popularity.observe(request.adapter, self._now())
         while True:
             refusal = self._refusal()
             if refusal is not None:
                 return Err(refusal)
-            if ask.prefetch and self._orders.right() is not OrderRight.FULL:
+            if request.prefetch and self._orders.right() is not OrderRight.FULL:
                 # Nothing is evicted in a store outage, so the free slots are all
                 # there is: spare copies of hot adapters would use them up, and
                 # requests for cold ones be refused till the outage ends.
-                return Err(_no_spare())
+                return Err(_refuse_prefetch())
             if not self._guard.ready:
                 if not await self._changed.wait(
-                    self._timers, asking.until - self._now()
+                    self._timers, pending.deadline_at - self._now()
                 ):
                     return Err(no_grant("the owner is still learning the target"))
                 continue
             slot = self._residency.get(key)
             if slot is not None and slot.grantable:
-                outcome = await self._grant_resident(asking)
+                outcome = await self._grant_resident(pending)
             else:
-                outcome = await self._load_and_grant(asking)
+                outcome = await self._load_and_grant(pending)
             if isinstance(outcome, Err) or outcome.ok_value is not None:
                 return outcome
 
@@ -110,7 +114,7 @@
         """Extend grants, as far as this owner may still give any."""
         right = self._orders.right()
         allowed = right is OrderRight.FULL or (
-            right is OrderRight.DEGRADED and self._guard.fence_fresh()
+            right is OrderRight.DEGRADED and self._guard.fence_is_fresh()
         )
         if right is OrderRight.DEGRADED and not allowed:
             # The next renewal, GRANT_RENEW_S from now, may find it accepted.
@@ -118,31 +122,33 @@
         if not allowed or not self._guard.ready:
             return RenewedGrants((), 0.0)
         renewed = self._ledger.renew(message.grant_ids)
-        for grant_id, begun in zip(message.grant_ids, message.begun, strict=False):
-            self._observe(grant_id, begun)
+        for grant_id, started_count in zip(
+            message.grant_ids, message.begun, strict=False
+        ):
+            self._observe_started(grant_id, started_count)
         return RenewedGrants(renewed, self._settings["GRANT_S"])
 
     def release(self, message: ReleaseGrant) -> None:
         """Take a grant back from its holder."""
-        self._observe(message.grant_id, message.begun)
+        self._observe_started(message.grant_id, message.begun)
         self._ledger.release(message.grant_id)
         self._changed.fire()
 
-    def _observe(self, grant_id: str, begun: int) -> None:
+    def _observe_started(self, grant_id: str, started_count: int) -> None:
         """Count the requests that a holder told of; the first was counted before."""
         grant = self._ledger.get(grant_id)
-        if grant is not None and begun > 0:
-            self._popularity.observe(grant.key.adapter, self._now(), begun)
+        if grant is not None and started_count > 0:
+            self._popularity.observe(grant.key.adapter, self._now(), started_count)
 
     def _now(self) -> float:
         return self._timers.now()
 
     async def _grant_resident(
-        self, asking: "_Asking"
+        self, pending: "_PendingGrant"
     ) -> Result[GrantReply | None, Failure]:
         """Grant what is resident; Ok(None) when it must be looked at again."""
-        if self._orders.right() is OrderRight.FULL or self._guard.fence_fresh():
-            return Ok(self._grant(asking, 0.0))
+        if self._orders.right() is OrderRight.FULL or self._guard.fence_is_fresh():
+            return Ok(self._grant(pending, 0.0))
         fenced = await self._orders.start_fence()
         if isinstance(fenced, Err):
             detail = f"{self._target} did not accept the fencing number"
@@ -150,17 +156,21 @@
         return Ok(None)
 
     async def _load_and_grant(
-        self, asking: "_Asking"
+        self, pending: "_PendingGrant"
     ) -> Result[GrantReply | None, Failure]:
         """Load and grant; Ok(None) when the slot must be looked at again."""
-        began_at = self._now()
-        joined = self._join(asking)
+        started_at = self._now()
+        joined = self._join(pending)
         if isinstance(joined, Err):
             return joined
         load = joined.ok_value
         try:
             outcome = await wait_for_load(
-                self._timers, self._loader, load, asking.until, asking.ask.slot_wait_s
+                self._timers,
+                self._loader,
+                load,
+                pending.deadline_at,
+                pending.request.slot_wait_s,
             )
             if isinstance(outcome, Err):
                 return outcome
@@ -171,41 +181,46 @@
                 and not self._leaving
                 and self._orders.right() is OrderRight.FULL
             ):
-                return Ok(self._grant(asking, self._now() - began_at))
+                return Ok(self._grant(pending, self._now() - started_at))
             return Ok(None)
         finally:
             # The slot was held against eviction until here, for this request.
             if load.slot is not None:
-                load.slot.wanted -= 1
-            elif self._queue.leave(load, asking.ask.prefetch):
+                load.slot.awaiting_grant -= 1
+            elif self._queue.leave(load, pending.request.prefetch):
                 self._changed.fire()
 
-    def _join(self, asking: "_Asking") -> Result[Load, Failure]:
+    def _join(self, pending: "_PendingGrant") -> Result[Load, Failure]:
         """Join the load, or refuse at once what can't be made in time."""
         now = self._now()
-        key, ask, until = asking.key, asking.ask, asking.until
-        if not ask.load:
+        key, request, deadline_at = pending.key, pending.request, pending.deadline_at
+        if not request.load:
             return Err(Failure(ErrorKind.NO_SLOT, "not resident", retry_after_s=1.0))
         retry_in = self._queue.retry_in(key, now)
         if retry_in > 0:
             detail = f"loading {key.adapter} {key.version} failed lately"
             return Err(Failure(ErrorKind.LOAD_FAILED, detail, retry_after_s=retry_in))
         estimate = self._loader.estimate_s(key)
-        if now + estimate > until:
+        if now + estimate > deadline_at:
             detail = "a load can't be made in time"
             return Err(Failure(ErrorKind.NO_SLOT, detail, retry_after_s=estimate))
-        if ask.slot_wait_s <= 0 and not self._loader.takes(key):
-            return no_room()
+        if request.slot_wait_s <= 0 and not self._loader.accepts(key):
+            return no_free_slot()
         load = self._queue.join(
-            key, ask.base_model, ask.priority, until, now, ask.prefetch
+            key,
+            request.base_model,
+            request.priority,
+            deadline_at,
+            now,
+            request.prefetch,
         )
         self._loader.start_loads()
         return Ok(load)
 
-    def _grant(self, asking: "_Asking", loaded_s: float) -> GrantReply:
+    def _grant(self, pending: "_PendingGrant", loaded_s: float) -> GrantReply:
         """Give a grant; called with nothing awaited since the right was read."""
-        count = max(1, min(asking.ask.count, self._settings["GRANT_SIZE"]))
-        grant = self._ledger.issue(asking.vm, asking.key, count)
+        count = max(1, min(pending.request.count, self._settings["GRANT_SIZE"]))
+        grant = self._ledger.issue(pending.vm, pending.key, count)
         self._invariants.check(
             "leaving-target-no-new-work", not self._leaving, self._target
         )
@@ -215,21 +230,21 @@
             f"grant {grant.grant_id} on {self._target}",
         )
         # The holder counts from its asking, so the wait here is added.
-        ttl_s = self._now() - asking.asked_at + self._settings["GRANT_S"]
+        ttl_s = self._now() - pending.requested_at + self._settings["GRANT_S"]
         return GrantReply(grant.grant_id, self._ledger.fence, count, ttl_s, loaded_s)
 
 
-class _Asking(NamedTuple):
+class _PendingGrant(NamedTuple):
     """One VM's asking for a grant."""
 
     vm: str
     key: AdapterVersion
-    ask: AcquireGrant
-    asked_at: float
-    until: float
+    request: AcquireGrant
+    requested_at: float
+    deadline_at: float
 
 
-def _no_spare() -> Failure:
+def _refuse_prefetch() -> Failure:
     detail = "free slots are kept for requests while nothing can be evicted"
     return Failure(ErrorKind.NO_SLOT, detail, retry_after_s=1.0)
 
--- a/hawthornlead/engines/grant_ledgers.py
+++ b/hawthornlead/engines/grant_ledgers.py
@@ -14,7 +14,7 @@
 
 # A request that began in the last moment of its grant is on the way to the target
 # for this long at most; a report must be later than that to prove that none runs.
-SEND_S = 1.0
+MAX_SEND_S = 1.0
 
 
 class AdapterVersion(NamedTuple):
@@ -54,10 +54,10 @@
         self._fence = fence
         self._held: dict[str, HeldGrant] = {}
         # Ran out, and no report has proved yet that nothing runs under them.
-        self._ran_out: dict[str, HeldGrant] = {}
+        self._expired: dict[str, HeldGrant] = {}
         # Earlier owners' grants: the moment by which all have run out, and the
         # adapters that a report after it showed running. None: not known yet.
-        self._unknown_until: float | None = None
+        self._unknown_end_at: float | None = None
         self._unknown_running: set[AdapterVersion] | None = set()
 
     @property
@@ -66,20 +66,20 @@
         return self._fence
 
     @property
-    def out(self) -> int:
+    def outstanding(self) -> int:
         """How many grants VMs hold."""
         return len(self._held)
 
     @property
-    def proof_wanted_after(self) -> float | None:
+    def proof_required_after(self) -> float | None:
         """The latest moment after which a report would settle something, or None."""
-        moments = [self._landed_by(grant) for grant in self._ran_out.values()]
-        if self._unknown_until is not None and self._unknown_running != set():
-            moments.append(self._unknown_until)
+        moments = [self._arrived_by(grant) for grant in self._expired.values()]
+        if self._unknown_end_at is not None and self._unknown_running != set():
+            moments.append(self._unknown_end_at)
         past = [moment for moment in moments if moment <= self._timers.now()]
         return max(past, default=None)
 
-    def longest_s(self) -> float:
+    def max_lifetime_s(self) -> float:
         """How long a grant can be used by the clock of a VM, seen by the owner's.
 
         Both clocks may be wrong in rate, one fast and one slow.
@@ -87,26 +87,26 @@
         error = self._settings["CLOCK_RATE_ERROR"]
         return self._settings["GRANT_S"] * (1 + 2 * error)
 
-    def send_s(self) -> float:
+    def max_send_s(self) -> float:
         """How long a request is under way from the check of its grant, at most."""
-        return SEND_S * (1 + 2 * self._settings["CLOCK_RATE_ERROR"])
+        return MAX_SEND_S * (1 + 2 * self._settings["CLOCK_RATE_ERROR"])
 
-    def distrust_until(self, moment: float | None) -> None:
+    def assume_unknown_until(self, moment: float | None) -> None:
         """Count unknown grants of earlier owners that run out at ``moment``.
 
         ``None``: they may still be given out, so nothing is idle.
         """
-        if moment is not None and self._unknown_until is not None:
+        if moment is not None and self._unknown_end_at is not None:
             # GRA-11: of several moments the latest counts. An earlier one would let
             # a report pass as proof while grants from before the later one are out.
-            moment = max(moment, self._unknown_until)
-        self._unknown_until = moment
+            moment = max(moment, self._unknown_end_at)
+        self._unknown_end_at = moment
         self._unknown_running = None
 
     def issue(self, vm: str, key: AdapterVersion, count: int) -> HeldGrant:
         """Enter a grant that starts now."""
         grant_id = f"{self._fence}-{self._rng.getrandbits(64):016x}"
-        ends_at = self._timers.now() + self.longest_s()
+        ends_at = self._timers.now() + self.max_lifetime_s()
         grant = HeldGrant(grant_id, vm, key, count, ends_at)
         self._held[grant_id] = grant
         return grant
@@ -114,7 +114,7 @@
     def renew(self, grant_ids) -> tuple[str, ...]:
         """Extend grants from now on; return those that had not run out."""
         self.sweep()
-        ends_at = self._timers.now() + self.longest_s()
+        ends_at = self._timers.now() + self.max_lifetime_s()
         renewed = []
         for grant_id in grant_ids:
             if grant_id not in self._held:
@@ -125,30 +125,30 @@
 
     def get(self, grant_id: str) -> HeldGrant | None:
         """Return a grant that was not given back, or None."""
-        return self._held.get(grant_id) or self._ran_out.get(grant_id)
+        return self._held.get(grant_id) or self._expired.get(grant_id)
 
     def release(self, grant_id: str) -> None:
         """Strike a grant: its holder said that nothing runs under it or will."""
         self._held.pop(grant_id, None)
-        self._ran_out.pop(grant_id, None)
+        self._expired.pop(grant_id, None)
 
     def revoke(self, key: AdapterVersion) -> list[HeldGrant]:
         """Mark the grants on an adapter as asked back; return those newly marked."""
-        marked = []
+        newly_revoked = []
         for grant in self._held.values():
             if grant.key != key or grant.revoked:
                 continue
-            marked.append(grant)
-        for grant in marked:
+            newly_revoked.append(grant)
+        for grant in newly_revoked:
             self._held[grant.grant_id] = grant._replace(revoked=True)
-        return marked
+        return newly_revoked
 
     def revoke_all(self) -> list[HeldGrant]:
         """Mark all grants as asked back; return those newly marked."""
-        marked = []
+        newly_revoked = []
         for key in {grant.key for grant in self._held.values()}:
-            marked += self.revoke(key)
-        return marked
+            newly_revoked += self.revoke(key)
+        return newly_revoked
 
     def sweep(self) -> None:
         """Move grants whose time is over to those that want a proof."""
@@ -157,7 +157,7 @@
             if now < grant.ends_at:
                 continue
             del self._held[grant.grant_id]
-            self._ran_out[grant.grant_id] = grant
+            self._expired[grant.grant_id] = grant
 
     def observe(self, report: Report) -> None:
         """Strike what a report proves not to run.
@@ -172,14 +172,14 @@
         for resident in report.residents:
             if resident.running > 0:
                 running.add(AdapterVersion(resident.adapter, resident.version))
-        for grant in list(self._ran_out.values()):
+        for grant in list(self._expired.values()):
             if grant.key in running:
                 continue
             # GRA-5: a request that was sent in the grant's last moment is on its way
-            # for SEND_S. A report from before that shows nothing running, and the
+            # for MAX_SEND_S. A report from before that shows nothing running, and the
             # eviction would meet the request as it arrives.
-            if self._clock.proves_after(report.as_of, self._landed_by(grant)):
-                del self._ran_out[grant.grant_id]
+            if self._clock.proves_after(report.as_of, self._arrived_by(grant)):
+                del self._expired[grant.grant_id]
         self._observe_unknown(report, running)
 
     def idle(self, key: AdapterVersion) -> bool:
@@ -189,16 +189,16 @@
             return False
         if any(grant.key == key for grant in self._held.values()):
             return False
-        return all(grant.key != key for grant in self._ran_out.values())
+        return all(grant.key != key for grant in self._expired.values())
 
-    def _landed_by(self, grant: HeldGrant) -> float:
+    def _arrived_by(self, grant: HeldGrant) -> float:
         """When the last request under a grant that ran out has arrived."""
-        return grant.ends_at + self.send_s()
+        return grant.ends_at + self.max_send_s()
 
     def _observe_unknown(self, report: Report, running: set[AdapterVersion]) -> None:
-        if self._unknown_until is None:
+        if self._unknown_end_at is None:
             return
-        if not self._clock.proves_after(report.as_of, self._unknown_until):
+        if not self._clock.proves_after(report.as_of, self._unknown_end_at):
             return
         if self._unknown_running is None:
             self._unknown_running = running
--- a/hawthornlead/engines/grants.py
+++ b/hawthornlead/engines/grants.py
@@ -41,7 +41,7 @@
 from .grant_ledgers import AdapterVersion
 
 # A grant with less time left than this is not handed to another request.
-LEAST_LEFT_S = 0.25
+MIN_REMAINING_S = 0.25
 
 
 class GrantKey(NamedTuple):
@@ -51,7 +51,7 @@
     key: AdapterVersion
 
 
-class _AskingKey(NamedTuple):
+class _RequestKey(NamedTuple):
     """What requests must have in common to share an asking."""
 
     key: GrantKey
@@ -60,7 +60,7 @@
     slot_wait_s: float
 
 
-class _Held:
+class _HeldGrant:
     """One grant of an owner, shared by up to ``count`` requests."""
 
     def __init__(self, key: GrantKey, reply: GrantReply, owner_vm: str, ends_at: float):
@@ -74,28 +74,28 @@
         self.reserved: weakref.WeakSet[Grant] = weakref.WeakSet()
         self.used_at = -math.inf
         # Requests begun since the owner was last told; it counts the first itself.
-        self.begun = -1
+        self.started = -1
         self.revoked = False
         # A request under it may still run though its attempt is over.
-        self.doubtful = False
+        self.suspect = False
 
     @property
     def busy(self) -> bool:
         return bool(self.running) or len(self.reserved) > 0
 
     @property
-    def room(self) -> int:
+    def free_places(self) -> int:
         return self.reply.count - len(self.running) - len(self.reserved)
 
-    def take_begun(self) -> int:
-        begun, self.begun = max(0, self.begun), min(0, self.begun)
+    def drain_started(self) -> int:
+        begun, self.started = max(0, self.started), min(0, self.started)
         return begun
 
 
 class Grant:
     """One request's place under a grant, for one attempt."""
 
-    def __init__(self, grants: "Grants", held: _Held, loaded_s: float):
+    def __init__(self, grants: "Grants", held: _HeldGrant, loaded_s: float):
         self._grants = grants
         self._held = held
         self._loaded_s = loaded_s
@@ -165,9 +165,9 @@
         self._invariants = core.invariants
         self._mesh = mesh
         self._owners = owners
-        self._held: dict[str, _Held] = {}
-        self._by_key: dict[GrantKey, list[_Held]] = {}
-        self._asking: dict[_AskingKey, asyncio.Task] = {}
+        self._held: dict[str, _HeldGrant] = {}
+        self._by_key: dict[GrantKey, list[_HeldGrant]] = {}
+        self._pending_requests: dict[_RequestKey, asyncio.Task] = {}
         self._revoked_early: dict[str, float] = {}
         self._timer = None
 
@@ -202,36 +202,36 @@
         ``slot_wait_s`` (seconds) are those of ``AcquireGrant``.
         """
         key = GrantKey(target, AdapterVersion(assignment.adapter, assignment.version))
-        until = self._timers.now() + wait_s
+        deadline_at = self._timers.now() + wait_s
         loaded_s = 0.0
         while True:
             held = self._usable(key)
             if held is not None:
                 return Ok(Grant(self, held, loaded_s))
-            left = until - self._timers.now()
-            if left < 0:
+            remaining_s = deadline_at - self._timers.now()
+            if remaining_s < 0:
                 return Err(_no_grant("no grant came in time"))
-            ask = AcquireGrant(
+            request = AcquireGrant(
                 target,
                 assignment.adapter,
                 assignment.version,
                 assignment.base_model,
                 self._settings["GRANT_SIZE"],
                 priority,
-                left,
+                remaining_s,
                 load,
                 prefetch,
                 slot_wait_s,
             )
-            asking = self._ask(key, ask)
-            if not await wait_done(self._timers, asking, left):
+            task = self._request(key, request)
+            if not await wait_done(self._timers, task, remaining_s):
                 return Err(_no_grant("no grant came in time"))
-            outcome = asking.result()
+            outcome = task.result()
             if isinstance(outcome, Err):
                 return outcome
             loaded_s = max(loaded_s, outcome.ok_value.loaded_s)
 
-    def start_attempt(self, grant: Grant, held: _Held, attempt_id: str) -> Result:
+    def start_attempt(self, grant: Grant, held: _HeldGrant, attempt_id: str) -> Result:
         """See ``Grant.start``."""
         held.reserved.discard(grant)
         now = self._timers.now()
@@ -241,7 +241,7 @@
             return Err(_no_grant("the grant ran out before the request was sent"))
         held.running.add(attempt_id)
         held.used_at = now
-        held.begun += 1
+        held.started += 1
         self._invariants.check(
             "grant-before-send",
             now < held.ends_at and len(held.running) <= held.reply.count,
@@ -250,7 +250,7 @@
         return Ok(None)
 
     def finish_attempt(
-        self, grant: Grant, held: _Held, attempt_id: str, ended: bool
+        self, grant: Grant, held: _HeldGrant, attempt_id: str, ended: bool
     ) -> None:
         """See ``Grant.finish``."""
         held.reserved.discard(grant)
@@ -259,7 +259,7 @@
             # GRA-6: a request whose end was not seen may still run. Given back as
             # idle, the grant would let the owner evict under it; it runs out instead,
             # and the owner wants a report that shows the adapter idle.
-            held.doubtful = held.doubtful or not ended
+            held.suspect = held.suspect or not ended
         if held.revoked:
             self._release_if_idle(held)
 
@@ -269,12 +269,12 @@
         for grant_id, at in list(self._revoked_early.items()):
             if now - at > self._settings["GRANT_S"]:
                 del self._revoked_early[grant_id]
-        in_use: dict[str, list[_Held]] = {}
+        in_use: dict[str, list[_HeldGrant]] = {}
         for held in list(self._held.values()):
             if now >= held.ends_at and not held.busy:
-                self._drop(held)
+                self._discard(held)
                 continue
-            if held.busy and not held.doubtful:
+            if held.busy and not held.suspect:
                 in_use.setdefault(held.key.target, []).append(held)
             elif now - held.used_at >= self._settings["GRANT_RENEW_S"]:
                 self._release_if_idle(held)
@@ -282,14 +282,14 @@
         await asyncio.gather(*calls)
         self._metrics.grants_held.set(len(self._held))
 
-    async def _renew(self, target: str, in_use: list[_Held]) -> None:
+    async def _renew(self, target: str, in_use: list[_HeldGrant]) -> None:
         sent_at = self._timers.now()
         renewed: tuple[str, ...] = ()
         ttl_s = 0.0
         owner = self._owners.owner_of(target_resource(target))
         if owner is not None:
             ids = tuple(held.reply.grant_id for held in in_use)
-            begun = tuple(held.take_begun() for held in in_use)
+            begun = tuple(held.drain_started() for held in in_use)
             reply = await self._mesh.call(owner.vm, RenewGrants(target, ids, begun))
             if isinstance(reply, Ok):
                 renewed, ttl_s = reply.ok_value
@@ -299,7 +299,9 @@
             if self._held.get(held.reply.grant_id) is not held:
                 continue
             if held.reply.grant_id in renewed:
-                held.ends_at = max(held.ends_at, sent_at + self._shortened(ttl_s))
+                held.ends_at = max(
+                    held.ends_at, sent_at + self._minus_clock_error(ttl_s)
+                )
                 continue
             self._events.emit(
                 EventKind.GRANT_LOST,
@@ -308,48 +310,52 @@
                 running=len(held.running),
             )
 
-    def _usable(self, key: GrantKey) -> _Held | None:
+    def _usable(self, key: GrantKey) -> _HeldGrant | None:
         """Return the held grant with room that ends last, or None."""
-        soonest = self._timers.now() + LEAST_LEFT_S
+        soonest = self._timers.now() + MIN_REMAINING_S
         best = None
         for held in self._by_key.get(key, ()):
-            if held.revoked or held.room <= 0 or held.ends_at < soonest:
+            if held.revoked or held.free_places <= 0 or held.ends_at < soonest:
                 continue
             if best is None or held.ends_at > best.ends_at:
                 best = held
         return best
 
-    def _ask(self, key: GrantKey, ask: AcquireGrant) -> asyncio.Task:
+    def _request(self, key: GrantKey, request: AcquireGrant) -> asyncio.Task:
         # Only askings that are answered alike are shared: a request must not get
         # the refusal of one that looked further sooner, or of a load ahead.
-        kind = _AskingKey(key, ask.load, ask.prefetch, ask.slot_wait_s)
-        asking = self._asking.get(kind)
-        if asking is not None and not asking.done():
-            return asking
-        asking = asyncio.get_running_loop().create_task(self._call(key, ask))
-        self._asking[kind] = asking
-
-        def forget(task):
-            if self._asking.get(kind) is task:
-                del self._asking[kind]
-
-        asking.add_done_callback(forget)
-        return asking
-
-    async def _call(
-        self, key: GrantKey, ask: AcquireGrant
+        kind = _RequestKey(key, request.load, request.prefetch, request.slot_wait_s)
+        call = self._pending_requests.get(kind)
+        if call is not None and not call.done():
+            return call
+        call = asyncio.get_running_loop().create_task(
+            self._request_from_owner(key, request)
+        )
+        self._pending_requests[kind] = call
+
+        def discard(task):
+            if self._pending_requests.get(kind) is task:
+                del self._pending_requests[kind]
+
+        call.add_done_callback(discard)
+        return call
+
+    async def _request_from_owner(
+        self, key: GrantKey, request: AcquireGrant
     ) -> Result[GrantReply, Failure]:
         owner = self._owners.owner_of(target_resource(key.target))
         if owner is None:
             return Err(_no_grant(f"{key.target} has no owner"))
         # Read before the asking leaves: the owner cannot have begun to count yet.
         sent_at = self._timers.now()
-        timeout_s = ask.wait_s + self._settings["PEER_CALL_S"]
-        reply = await self._mesh.call(owner.vm, ask, timeout_s=timeout_s)
+        timeout_s = request.wait_s + self._settings["PEER_CALL_S"]
+        reply = await self._mesh.call(owner.vm, request, timeout_s=timeout_s)
         if isinstance(reply, Err):
             return reply
         grant = reply.ok_value
-        held = _Held(key, grant, owner.vm, sent_at + self._shortened(grant.ttl_s))
+        held = _HeldGrant(
+            key, grant, owner.vm, sent_at + self._minus_clock_error(grant.ttl_s)
+        )
         # A revocation may overtake the grant that it is about.
         held.revoked = self._revoked_early.pop(grant.grant_id, None) is not None
         held.used_at = self._timers.now()
@@ -359,7 +365,7 @@
             self._release_if_idle(held)
         return Ok(grant)
 
-    def _shortened(self, ttl_s: float) -> float:
+    def _minus_clock_error(self, ttl_s: float) -> float:
         return ttl_s * (1 - 2 * self._settings["CLOCK_RATE_ERROR"])
 
     async def _on_revoke(self, sender, message: RevokeGrant):
@@ -371,15 +377,17 @@
         self._release_if_idle(held)
         return Done()
 
-    def _release_if_idle(self, held: _Held) -> None:
+    def _release_if_idle(self, held: _HeldGrant) -> None:
         """Give a grant back, unless something may run or begin under it."""
-        if held.busy or held.doubtful:
+        if held.busy or held.suspect:
             return
-        self._drop(held)
-        message = ReleaseGrant(held.key.target, held.reply.grant_id, held.take_begun())
+        self._discard(held)
+        message = ReleaseGrant(
+            held.key.target, held.reply.grant_id, held.drain_started()
+        )
         send(self._mesh, held.owner_vm, message)
 
-    def _drop(self, held: _Held) -> None:
+    def _discard(self, held: _HeldGrant) -> None:
         self._held.pop(held.reply.grant_id, None)
         siblings = self._by_key.get(held.key, [])
         if held in siblings:
--- a/hawthornlead/engines/hot_copies.py
+++ b/hawthornlead/engines/hot_copies.py
@@ -14,10 +14,10 @@
 from .grants import Grants
 
 # How long an adapter is left alone after it was looked at.
-PAUSE_S = 1.0
+CHECK_INTERVAL_S = 1.0
 # How long a copy may take: a moment for its leave, then the load.
-WAIT_S = 5.0
-MOST_LOOKED_AT = 1024
+LOAD_TIMEOUT_S = 5.0
+MAX_ADAPTERS = 1024
 
 
 class HotCopies:
@@ -37,18 +37,18 @@
         self._grants = grants
         self._placement = placement
         self._popularity = popularity
-        self._looked_at: dict[str, float] = {}
+        self._checked_at: dict[str, float] = {}
 
     def consider(self, assignment: Assignment) -> None:
         """Ask for one more copy if the rate of the adapter wants one."""
         now = self._timers.now()
         adapter = assignment.adapter
-        if now - self._looked_at.get(adapter, -PAUSE_S) < PAUSE_S:
+        if now - self._checked_at.get(adapter, -CHECK_INTERVAL_S) < CHECK_INTERVAL_S:
             return
-        self._looked_at.pop(adapter, None)
-        self._looked_at[adapter] = now
-        if len(self._looked_at) > MOST_LOOKED_AT:
-            del self._looked_at[next(iter(self._looked_at))]
+        self._checked_at.pop(adapter, None)
+        self._checked_at[adapter] = now
+        if len(self._checked_at) > MAX_ADAPTERS:
+            del self._checked_at[next(iter(self._checked_at))]
         usable = [view for view in self._views.views() if not view.leaving]
         target = self._placement.spare(assignment, usable, self._popularity, now)
         if target is not None:
@@ -57,5 +57,5 @@
     async def _load(self, target: str, assignment: Assignment) -> None:
         # The grant is dropped at once: unused, it is given back with the idle ones.
         await self._grants.acquire(
-            target, assignment, wait_s=WAIT_S, prefetch=True, slot_wait_s=0.0
+            target, assignment, wait_s=LOAD_TIMEOUT_S, prefetch=True, slot_wait_s=0.0
         )
--- a/hawthornlead/engines/load_permits.py
+++ b/hawthornlead/engines/load_permits.py
@@ -9,9 +9,9 @@
 
 # How long a load that no request waits for asks for a permit. Short, so that a request
 # that joins it meanwhile soon asks with its own weight.
-AHEAD_ASK_S = 0.5
+PREFETCH_TIMEOUT_S = 0.5
 # For how long the wait for a permit counts in what a new load is expected to take.
-WAIT_KEEP_S = 2.0
+WAIT_MAX_AGE_S = 2.0
 
 
 class LoadPermits:
@@ -29,32 +29,32 @@
         self._allowances = allowances
         self._weight_store = weight_store
         self._target = target
-        self._waited_s = 0.0
-        self._given_at = float("-inf")
+        self._wait_s = 0.0
+        self._issued_at = float("-inf")
 
     @property
     def expected_s(self) -> float:
         """How long a new load would wait for its permit, 0 if none was given lately."""
-        if self._timers.now() - self._given_at >= WAIT_KEEP_S:
+        if self._timers.now() - self._issued_at >= WAIT_MAX_AGE_S:
             return 0.0
-        return self._waited_s
+        return self._wait_s
 
-    async def ask(self, load: Load) -> Result[Permit, Failure] | None:
+    async def acquire(self, load: Load) -> Result[Permit, Failure] | None:
         """Ask for a permit; None when requests came to a load ahead meanwhile."""
-        asked_at = self._timers.now()
-        left = load.deadline_at - asked_at
+        requested_at = self._timers.now()
+        left = load.deadline_at - requested_at
         prefetch = load.requests == 0
-        asked = await self._allowances.acquire(
+        reply = await self._allowances.acquire(
             self._weight_store,
             self._target,
             load.key,
             load.priority,
-            min(left, AHEAD_ASK_S) if prefetch else left,
+            min(left, PREFETCH_TIMEOUT_S) if prefetch else left,
             load.requests,
         )
-        if isinstance(asked, Err) and prefetch and load.requests > 0:
+        if isinstance(reply, Err) and prefetch and load.requests > 0:
             return None
-        if isinstance(asked, Ok) and not prefetch:
-            self._given_at = self._timers.now()
-            self._waited_s = self._given_at - asked_at
-        return asked
+        if isinstance(reply, Ok) and not prefetch:
+            self._issued_at = self._timers.now()
+            self._wait_s = self._issued_at - requested_at
+        return reply
--- a/hawthornlead/engines/load_queues.py
+++ b/hawthornlead/engines/load_queues.py
@@ -11,17 +11,17 @@
 from .grant_ledgers import AdapterVersion
 from .residencies import Slot
 
-BACKOFF_S = 1.0
-LONGEST_BACKOFF_S = 60.0
+FIRST_BACKOFF_S = 1.0
+MAX_BACKOFF_S = 60.0
 
 
 class Load:
-    """One load that is wanted; ``ended`` holds its Result when it is over."""
+    """One load that is wanted; ``outcome`` holds its Result when it is over."""
 
     def __init__(self, key: AdapterVersion, base_model: str, asked_at: float):
         self.key = key
         self.base_model = base_model
-        self.asked_at = asked_at
+        self.requested_at = asked_at
         self.priority = 0
         # The first of the waiting requests to be late, and the last.
         self.due_at = math.inf
@@ -32,7 +32,7 @@
         # The slot that it was loaded into, once it was.
         self.slot: Slot | None = None
         self.task: asyncio.Task | None = None
-        self.ended: asyncio.Future[Result[None, Failure]] = (
+        self.outcome: asyncio.Future[Result[None, Failure]] = (
             asyncio.get_running_loop().create_future()
         )
 
@@ -48,14 +48,14 @@
             self.key.version,
             self.priority,
             self.due_at,
-            self.asked_at,
+            self.requested_at,
             self.requests,
         )
 
-    def end(self, outcome: Result[None, Failure]) -> None:
+    def finish(self, outcome: Result[None, Failure]) -> None:
         """Tell all who wait."""
-        if not self.ended.done():
-            self.ended.set_result(outcome)
+        if not self.outcome.done():
+            self.outcome.set_result(outcome)
 
 
 class LoadQueue:
@@ -97,7 +97,7 @@
         load.prefetching -= prefetch
         return load.waiting == 0
 
-    def wants(self, key: AdapterVersion) -> bool:
+    def contains(self, key: AdapterVersion) -> bool:
         """Whether a load of the adapter version is wanted."""
         return key in self._loads
 
@@ -127,7 +127,7 @@
             ahead += 1
         return ahead
 
-    def failed(self, key: AdapterVersion, now: float) -> None:
+    def record_failure(self, key: AdapterVersion, now: float) -> None:
         """Remember a failed load: the next try waits, longer after each failure.
 
         Without it, every request for an adapter whose weights are broken would use
@@ -135,9 +135,9 @@
         """
         failures = self._failures.get(key, 0)
         self._failures[key] = failures + 1
-        self._retry_at[key] = now + min(BACKOFF_S * 2**failures, LONGEST_BACKOFF_S)
+        self._retry_at[key] = now + min(FIRST_BACKOFF_S * 2**failures, MAX_BACKOFF_S)
 
-    def succeeded(self, key: AdapterVersion) -> None:
+    def record_success(self, key: AdapterVersion) -> None:
         """Forget earlier failures."""
         self._failures.pop(key, None)
         self._retry_at.pop(key, None)
--- a/hawthornlead/engines/loaders.py
+++ b/hawthornlead/engines/loaders.py
@@ -27,16 +27,16 @@
 from .targets import OrderReply
 
 # How often a load looks for room anew after it lost it while it had a permit.
-ROOM_TRIES = 3
+MAX_SLOT_TRIES = 3
 # How long nothing is loaded after the target said that it has no free slot.
-FULL_PAUSE_S = 0.5
+FULL_BACKOFF_S = 0.5
 # Weight of the newest load in the running mean of how long loads take.
 MEAN_WEIGHT = 0.2
 
 # How often a load that waits looks whether its owner still has its full right.
-LOOK_AGAIN_S = 1.0
+RIGHT_CHECK_INTERVAL_S = 1.0
 # When to come back for a slot in a store outage: one lasts longer than a moment.
-NO_EVICTION_S = 15.0
+OUTAGE_RETRY_S = 15.0
 
 
 class Loader:
@@ -73,9 +73,9 @@
         self._changed = changed
         self._running: set[Load] = set()
         # Loads that saw room and wait for a permit.
-        self._expecting: set[Load] = set()
+        self._awaiting_permit: set[Load] = set()
         # Permits of loads whose end is not known; they end by time or restart.
-        self._kept_permits: list[Permit] = []
+        self._unsettled_permits: list[Permit] = []
         self._stopped = False
         self._mean_s = core.settings["LOADS_AT_ONCE"] / core.settings["LOADS_PER_S"]
 
@@ -88,9 +88,9 @@
         """Whether ``key`` has a slot, or may soon have one after other loads."""
         return self._reclaimer.could_hold(key, loads_before)
 
-    def takes(self, key: AdapterVersion) -> bool:
+    def accepts(self, key: AdapterVersion) -> bool:
         """Whether a load of ``key`` is wanted, or has a slot beside those that are."""
-        return self._queue.wants(key) or self.can_load(key, len(self._queue))
+        return self._queue.contains(key) or self.can_load(key, len(self._queue))
 
     def start_loads(self) -> None:
         """Start wanted loads in their order, as many at once as may be."""
@@ -109,51 +109,51 @@
         self._stopped = True
         tasks = [load.task for load in self._running if load.task is not None]
         for load in self._queue.loads():
-            load.end(Err(Failure(ErrorKind.NO_GRANT, "the target's owner changed")))
+            load.finish(Err(Failure(ErrorKind.NO_GRANT, "the target's owner changed")))
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def restarted(self) -> None:
+    def on_restart(self) -> None:
         """The target restarted: no load runs there any more."""
-        for permit in self._kept_permits:
+        for permit in self._unsettled_permits:
             self._allowances.release(permit, loaded=False)
-        self._kept_permits.clear()
+        self._unsettled_permits.clear()
 
     async def _run(self, load: Load) -> None:
         outcome = Err(Failure(ErrorKind.NO_GRANT, "the load was given up"))
         try:
-            outcome = await self._carry_out(load)
+            outcome = await self._attempt(load)
         except Exception:
             # A bug in one load must not leave its requests waiting, nor its place.
             logger.exception("load at {} failed", self._target)
         finally:
-            self._expecting.discard(load)
+            self._awaiting_permit.discard(load)
             self._running.discard(load)
             self._queue.remove(load)
-            load.end(outcome)
+            load.finish(outcome)
             if not self._running:
                 self._reclaimer.end_drains()
             self._changed.fire()
         self.start_loads()
 
-    async def _carry_out(self, load: Load) -> Result[None, Failure]:
-        for _ in range(ROOM_TRIES):
+    async def _attempt(self, load: Load) -> Result[None, Failure]:
+        for _ in range(MAX_SLOT_TRIES):
             seen = await self._wait_for_room(load)
             if isinstance(seen, Err) or seen.ok_value:
                 return seen if isinstance(seen, Err) else Ok(None)
-            self._expecting.add(load)
+            self._awaiting_permit.add(load)
             if load.requests > 0:
                 await self._reclaimer.drain_best()
-            asked = await self._load_permits.ask(load)
-            self._expecting.discard(load)
+            asked = await self._load_permits.acquire(load)
+            self._awaiting_permit.discard(load)
             if asked is None:
                 continue
             if isinstance(asked, Err):
                 return asked
             permit = asked.ok_value
             wanted = self._residency.get(load.key) is None and self._orders.ready
-            if wanted and await self._reclaimer.make():
+            if wanted and await self._reclaimer.free_slot():
                 return await self._load(load, permit)
             self._allowances.release(permit, loaded=False)
         return self._no_slot("no slot became free")
@@ -168,10 +168,10 @@
             if self._orders.right() is OrderRight.NONE:
                 return Err(Failure(ErrorKind.NO_GRANT, "the owner lost its right"))
             slot = self._residency.get(load.key)
-            if slot is not None and self._keep(slot, load):
+            if slot is not None and self._reuse_slot(slot, load):
                 return Ok(True)
             if slot is None and self._orders.ready:
-                if self._reclaimer.found(len(self._expecting)):
+                if self._reclaimer.has_capacity_for(len(self._awaiting_permit)):
                     return Ok(False)
                 if load.requests == 0:
                     return self._no_slot("no slot is free for a load ahead")
@@ -182,12 +182,12 @@
                     # that does not end soon would only hold the answer back until
                     # the deadline.
                     detail = "nothing is evicted while the store does not answer"
-                    failure = Failure(ErrorKind.NO_SLOT, detail, NO_EVICTION_S)
+                    failure = Failure(ErrorKind.NO_SLOT, detail, OUTAGE_RETRY_S)
                     return Err(failure)
                 self._reclaimer.drain_one(len(self._running))
-            await self._changed.wait(self._timers, min(left, LOOK_AGAIN_S))
+            await self._changed.wait(self._timers, min(left, RIGHT_CHECK_INTERVAL_S))
 
-    def _keep(self, slot: Slot, load: Load) -> bool:
+    def _reuse_slot(self, slot: Slot, load: Load) -> bool:
         """Whether the adapter's own slot serves; it stays if no load goes before."""
         if slot.state is not SlotState.RESIDENT:
             return False
@@ -195,16 +195,16 @@
             slot.draining = False
         if slot.draining:
             return False
-        self._hold(slot, load)
+        self._hold_slot(slot, load)
         return True
 
-    def _hold(self, slot: Slot, load: Load) -> None:
+    def _hold_slot(self, slot: Slot, load: Load) -> None:
         """Keep the slot until each request that waited for the load has its grant."""
-        slot.wanted += load.waiting
+        slot.awaiting_grant += load.waiting
         load.slot = slot
 
     async def _load(self, load: Load, permit: Permit) -> Result[None, Failure]:
-        slot = self._residency.begin_load(load.key, load.base_model)
+        slot = self._residency.start_load(load.key, load.base_model)
         started_at = self._timers.now()
         self._events.emit(EventKind.LOAD_STARTED, self._target, adapter=load.key)
         reply = await self._orders.load(
@@ -212,12 +212,12 @@
             load.base_model,
             lambda: self._timers.now() < permit.start_by,
         )
-        outcome = self._settle_load(load, slot, permit, started_at, reply)
+        outcome = self._finish_load(load, slot, permit, started_at, reply)
         result = "loaded" if isinstance(outcome, Ok) else outcome.err_value.kind.value
         self._metrics.loads.labels(result).inc()
         return outcome
 
-    def _settle_load(
+    def _finish_load(
         self,
         load: Load,
         slot: Slot,
@@ -231,10 +231,10 @@
             self._allowances.release(permit, loaded=False)
             return Err(Failure(ErrorKind.LOAD_FAILED, "the target restarted"))
         if isinstance(reply, Ok) and self._residency.boot_id == reply.ok_value.boot_id:
-            self._residency.loaded(slot, reply.ok_value.now)
-            self._hold(slot, load)
+            self._residency.mark_loaded(slot, reply.ok_value.now)
+            self._hold_slot(slot, load)
             self._allowances.release(permit, loaded=True)
-            self._queue.succeeded(load.key)
+            self._queue.record_success(load.key)
             self._mean_s += MEAN_WEIGHT * (now - started_at - self._mean_s)
             self._events.emit(
                 EventKind.LOAD_ENDED,
@@ -248,10 +248,12 @@
             failure = Failure(ErrorKind.TARGET_LOST, "the target restarted")
         else:
             failure = reply.err_value
-        self._settle_failed_load(load, slot, permit, started_at, failure)
-        return Err(failure._replace(kind=_LOAD_KINDS.get(failure.kind, failure.kind)))
+        self._finish_failed_load(load, slot, permit, started_at, failure)
+        return Err(
+            failure._replace(kind=_REQUEST_ERROR_KINDS.get(failure.kind, failure.kind))
+        )
 
-    def _settle_failed_load(
+    def _finish_failed_load(
         self,
         load: Load,
         slot: Slot,
@@ -267,19 +269,21 @@
         )
         if failure.kind is ErrorKind.TARGET_LOST:
             # It may still be loading: its slot and its share stay taken.
-            self._residency.lost(slot, started_at + self._settings["LOAD_S"])
+            self._residency.mark_uncertain(slot, started_at + self._settings["LOAD_S"])
             now = self._timers.now()
-            self._kept_permits = [p for p in self._kept_permits if now < p.ends_at]
-            self._kept_permits.append(permit)
+            self._unsettled_permits = [
+                p for p in self._unsettled_permits if now < p.ends_at
+            ]
+            self._unsettled_permits.append(permit)
             return
-        self._residency.gone(slot)
+        self._residency.remove(slot)
         self._allowances.release(permit, loaded=False)
         if failure.kind is ErrorKind.NO_SLOT:
             # A load that an earlier owner ordered is still under way there. Each
             # further try would use up a share of the weight store's rate.
-            self._reclaimer.note_full(self._timers.now() + FULL_PAUSE_S)
+            self._reclaimer.mark_full(self._timers.now() + FULL_BACKOFF_S)
         if failure.kind is ErrorKind.LOAD_FAILED:
-            self._queue.failed(load.key, self._timers.now())
+            self._queue.record_failure(load.key, self._timers.now())
 
     def _no_slot(self, detail: str) -> Err[Failure]:
         return Err(Failure(ErrorKind.NO_SLOT, detail, retry_after_s=self._mean_s))
@@ -287,7 +291,7 @@
 
 # What a request is told when its load was not carried out: the request itself did
 # not run, whatever became of the load.
-_LOAD_KINDS = {
+_REQUEST_ERROR_KINDS = {
     ErrorKind.TARGET_LOST: ErrorKind.LOAD_FAILED,
     ErrorKind.NOT_FOUND: ErrorKind.LOAD_FAILED,
 }
--- a/hawthornlead/engines/orders.py
+++ b/hawthornlead/engines/orders.py
@@ -48,7 +48,7 @@
         self._stopped = False
         self._fencing: asyncio.Task | None = None
         # Evictions that were sent and not answered, and until when each may land.
-        self._landing: dict[str, float] = {}
+        self._pending_evictions: dict[str, float] = {}
 
     @property
     def superseded(self) -> bool:
@@ -61,16 +61,16 @@
         return self._guard.ready
 
     @property
-    def longest_s(self) -> float:
+    def max_duration_s(self) -> float:
         """How long an order may be under way from its last check to its effect."""
         return clock_safe_wait_s(
             self._settings["ORDER_S"], self._settings["CLOCK_RATE_ERROR"]
         )
 
     @property
-    def evicts_end_at(self) -> float:
+    def evictions_end_at(self) -> float:
         """When every eviction that was sent has surely taken effect, or never will."""
-        return max(self._landing.values(), default=float("-inf"))
+        return max(self._pending_evictions.values(), default=float("-inf"))
 
     def stop(self) -> None:
         """Order nothing any more: the ownership is over."""
@@ -116,7 +116,7 @@
             if not self.may_evict() or not idle():
                 return False
             # Asked right before the bytes are written.
-            self._landing[serial] = self._timers.now() + self.longest_s
+            self._pending_evictions[serial] = self._timers.now() + self.max_duration_s
             return True
 
         reply = await self._order(
@@ -125,7 +125,7 @@
         # GRA-8: what got no answer may land until its time is over; an answer,
         # whatever it says, and a connection that never stood, end it.
         if isinstance(reply, Ok) or reply.err_value.kind is not ErrorKind.TARGET_LOST:
-            self._landing.pop(serial, None)
+            self._pending_evictions.pop(serial, None)
         return reply
 
     def start_fence(self) -> Awaitable[Result[OrderReply, Failure]]:
@@ -148,7 +148,7 @@
         if isinstance(reply, Err):
             return reply
         boot_id = reply.ok_value.boot_id
-        if not self._guard.fenced(sent_at, self._timers.now(), boot_id):
+        if not self._guard.record_fenced(sent_at, self._timers.now(), boot_id):
             detail = f"{self._target} restarted"
             return Err(Failure(ErrorKind.TARGET_LOST, detail))
         return reply
--- a/hawthornlead/engines/residencies.py
+++ b/hawthornlead/engines/residencies.py
@@ -26,7 +26,7 @@
 class Slot:
     """One used slot of a target.
 
-    ``wanted`` counts requests whose load just ended and that have no grant yet,
+    ``awaiting_grant`` counts requests whose load just ended and that have no grant yet,
     ``draining`` says that its grants are asked back to make room.
     """
 
@@ -35,10 +35,10 @@
         self.state = state
         self.base_model = base_model
         self.running = 0
-        self.wanted = 0
+        self.awaiting_grant = 0
         self.draining = False
         # An eviction was sent, and its outcome is not known.
-        self.evict_open = False
+        self.evict_pending = False
         # Engine time of the last order that touched it.
         self.changed_at = float("-inf")
         # Owner time after which a lost order has surely ended.
@@ -93,31 +93,31 @@
         """Return the slots as owners tell them, in a fixed order."""
         return tuple(sorted(slot.resident() for slot in self._slots.values()))
 
-    def begin_load(self, key: AdapterVersion, base_model: str) -> Slot:
+    def start_load(self, key: AdapterVersion, base_model: str) -> Slot:
         """Take a free slot for a load that is about to be ordered."""
         slot = Slot(key, SlotState.LOADING, base_model)
         self._slots[key] = slot
         return slot
 
-    def loaded(self, slot: Slot, engine_now: float) -> None:
+    def mark_loaded(self, slot: Slot, engine_now: float) -> None:
         """The target said that it has loaded."""
         slot.state = SlotState.RESIDENT
         slot.changed_at = engine_now
         self._evicted_at.pop(slot.key, None)
 
-    def gone(self, slot: Slot, engine_now: float | None = None) -> None:
+    def remove(self, slot: Slot, engine_now: float | None = None) -> None:
         """The slot is free: evicted, or its load failed."""
         if self._slots.get(slot.key) is slot:
             del self._slots[slot.key]
         if engine_now is not None:
             self._evicted_at[slot.key] = engine_now
 
-    def lost(self, slot: Slot, settled_after: float) -> None:
+    def mark_uncertain(self, slot: Slot, settled_after: float) -> None:
         """The outcome of an order is unknown; it ends by ``settled_after``."""
         slot.state = SlotState.UNCERTAIN
         slot.settled_after = settled_after
 
-    def clear(self) -> None:
+    def on_restart(self) -> None:
         """The target restarted: its slots are empty.
 
         GRA-8: an eviction that has no answer may have been sent to the new start,
@@ -127,7 +127,7 @@
         """
         self._evicted_at.clear()
         for key, slot in list(self._slots.items()):
-            if not slot.evict_open:
+            if not slot.evict_pending:
                 del self._slots[key]
                 continue
             slot.running = 0
@@ -136,12 +136,12 @@
     def observe(self, report: Report) -> None:
         """Merge a report of the target's present start."""
         self._size = report.slots
-        told = {}
+        reported = {}
         for resident in report.residents:
-            told[AdapterVersion(resident.adapter, resident.version)] = resident
+            reported[AdapterVersion(resident.adapter, resident.version)] = resident
         for slot in self.slots():
-            self._observe_slot(slot, told.get(slot.key), report.as_of)
-        for key, resident in told.items():
+            self._observe_slot(slot, reported.get(slot.key), report.as_of)
+        for key, resident in reported.items():
             if key in self._slots or report.as_of <= self._evicted_at.get(key, -1e300):
                 continue
             slot = Slot(key, SlotState.RESIDENT)
@@ -151,15 +151,17 @@
             if report.as_of > evicted_at:
                 del self._evicted_at[key]
 
-    def _observe_slot(self, slot: Slot, told: Resident | None, as_of: float) -> None:
+    def _observe_slot(
+        self, slot: Slot, reported: Resident | None, as_of: float
+    ) -> None:
         if slot.state is SlotState.UNCERTAIN:
             if not self._clock.proves_after(as_of, slot.settled_after):
                 return
             slot.state = SlotState.RESIDENT
-            slot.evict_open = False
+            slot.evict_pending = False
         if slot.state is not SlotState.RESIDENT or as_of <= slot.changed_at:
             return
-        if told is None:
+        if reported is None:
             del self._slots[slot.key]
             return
-        slot.running = told.running
+        slot.running = reported.running
--- a/hawthornlead/engines/slot_reclaimers.py
+++ b/hawthornlead/engines/slot_reclaimers.py
@@ -3,7 +3,7 @@
 The loader says how many loads need room; nothing is evicted that a grant, a request
 or a waiting load still holds::
 
-    if room.found(expected=1) and await room.make():
+    if room.has_capacity_for(expected=1) and await room.free_slot():
         ...  # a slot is free
 """
 
@@ -21,7 +21,7 @@
 from .residencies import Residency, Slot, SlotState
 
 # How long a load waits at most for grants that it has asked back.
-DRAIN_S = 0.1
+DRAIN_TIMEOUT_S = 0.1
 
 
 class SlotReclaimer:
@@ -63,11 +63,11 @@
             return True
         room = self._residency.free
         for slot in self._residency.slots():
-            if slot.state is SlotState.RESIDENT and not slot.wanted:
+            if slot.state is SlotState.RESIDENT and not slot.awaiting_grant:
                 room += slot.running == 0 or self._ledger.idle(slot.key)
         return room > loads_before
 
-    def found(self, expected: int) -> bool:
+    def has_capacity_for(self, expected: int) -> bool:
         """Whether there is room beside that for ``expected`` loads that saw some."""
         if self._timers.now() < self._full_until:
             return False
@@ -76,11 +76,11 @@
             room += len(self._idle_slots())
         return room > expected
 
-    def note_full(self, until: float) -> None:
+    def mark_full(self, until: float) -> None:
         """Note that the target has no free slot, against what its reports say."""
         self._full_until = until
 
-    async def make(self) -> bool:
+    async def free_slot(self) -> bool:
         """Evict one idle adapter if no slot is free; return whether one is."""
         if self._residency.free > 0:
             return True
@@ -103,7 +103,7 @@
         candidates = []
         for slot in self._residency.slots():
             draining += slot.draining
-            if slot.grantable and slot.wanted == 0:
+            if slot.grantable and slot.awaiting_grant == 0:
                 candidates.append(slot)
         if draining >= loads:
             return
@@ -127,14 +127,14 @@
         quiet = [
             slot
             for slot in self._residency.slots()
-            if slot.grantable and not slot.wanted and not slot.running
+            if slot.grantable and not slot.awaiting_grant and not slot.running
         ]
         best = self._choose(idle + [slot for slot in quiet if slot not in idle])
         if best is None or best in idle:
             return
         best.draining = True
         self._revoke(self._ledger.revoke(best.key))
-        until = self._timers.now() + DRAIN_S
+        until = self._timers.now() + DRAIN_TIMEOUT_S
         while not self._ledger.idle(best.key) and self._timers.now() < until:
             await self._changed.wait(self._timers, until - self._timers.now())
 
@@ -147,9 +147,10 @@
         """Evict; return whether the slot is free. No grant is given meanwhile."""
         # GRA-7: nothing is granted on it from here until its outcome is known.
         victim.state = SlotState.EVICTING
-        victim.evict_open = True
+        victim.evict_pending = True
         reply = await self._orders.evict(
-            victim.key, lambda: self._ledger.idle(victim.key) and victim.wanted == 0
+            victim.key,
+            lambda: self._ledger.idle(victim.key) and victim.awaiting_grant == 0,
         )
         if self._residency.get(victim.key) is not victim:
             return True
@@ -160,7 +161,7 @@
                 f"{self._target} {victim.key.adapter}",
             )
             same_start = reply.ok_value.boot_id == self._residency.boot_id
-            self._residency.gone(victim, reply.ok_value.now if same_start else None)
+            self._residency.remove(victim, reply.ok_value.now if same_start else None)
             self._metrics.evictions.inc()
             self._events.emit(
                 EventKind.ADAPTER_EVICTED, self._target, adapter=victim.key
@@ -168,22 +169,24 @@
             return True
         kind = reply.err_value.kind
         if kind is ErrorKind.NOT_FOUND:
-            self._residency.gone(victim)
+            self._residency.remove(victim)
             return True
         if kind is ErrorKind.TARGET_LOST:
             # GRA-8: it may still take effect, also under this same owner. Granted
             # meanwhile, its requests would lose their adapter. The bytes may have
             # left just before the timeout, so the time counts from here.
-            self._residency.lost(victim, self._timers.now() + self._orders.longest_s)
+            self._residency.mark_uncertain(
+                victim, self._timers.now() + self._orders.max_duration_s
+            )
             return False
         victim.state = SlotState.RESIDENT
-        victim.evict_open = False
+        victim.evict_pending = False
         return False
 
     def _idle_slots(self) -> list[Slot]:
         idle = []
         for slot in self._residency.slots():
-            if slot.state is not SlotState.RESIDENT or slot.wanted > 0:
+            if slot.state is not SlotState.RESIDENT or slot.awaiting_grant > 0:
                 continue
             if self._ledger.idle(slot.key):
                 idle.append(slot)
--- a/hawthornlead/engines/slots.py
+++ b/hawthornlead/engines/slots.py
@@ -46,7 +46,7 @@
         target: OwnedTarget,
         ownership,
         cast: Callable[[str, RevokeGrant], object],
-        predecessor_gone: Callable[[], bool] = lambda: False,
+        has_predecessor_stopped: Callable[[], bool] = lambda: False,
     ):
         self._settings = core.settings
         self._timers = core.timers
@@ -55,7 +55,7 @@
         self._target = target
         self._fence = ownership.fence
         self._cast = cast
-        self._predecessor_gone = predecessor_gone
+        self._has_predecessor_stopped = has_predecessor_stopped
         self._clock = EngineClock()
         self._residency = Residency(self._clock, target.slots)
         self._queue = LoadQueue(policies.load_order)
@@ -161,9 +161,9 @@
         return self._grant_issuer
 
     @property
-    def evicts_end_at(self) -> float:
+    def evictions_end_at(self) -> float:
         """When every eviction that was sent has surely taken effect, or never will."""
-        return self._orders.evicts_end_at
+        return self._orders.evictions_end_at
 
     def start(self) -> None:
         """Begin to read reports."""
@@ -174,14 +174,14 @@
         )
         self._events.emit(EventKind.TARGET_OWNED, self._target.name, fence=self._fence)
 
-    def give_up(self) -> None:
+    def release(self) -> None:
         """Grant and order nothing from now on; what is under way ends in ``stop``."""
         self._orders.stop()
         self._changed.fire()
 
     async def stop(self) -> None:
         """End; grants that are out run out by themselves."""
-        self.give_up()
+        self.release()
         if self._timer is not None:
             self._timer.cancel()
         await self._loader.stop()
@@ -201,13 +201,13 @@
             running=self._poller.running,
             queued=self._poller.queued,
             leaving=self.leaving,
-            residents=() if silent else self._told_residents(),
+            residents=() if silent else self._announced_residents(),
             boot_id=self._residency.boot_id or "",
         )
 
     def suspect(self) -> None:
         """Probe the target soon: a request failed there."""
-        self._poller.want_probe()
+        self._poller.request_probe()
         if not self._polling:
             self._timers.after(0, self.poll, name="suspected target")
 
@@ -218,19 +218,19 @@
         self._polling = True
         try:
             if self._orders.right() is not OrderRight.NONE:
-                self._guard.has_right()
+                self._guard.record_right()
                 if self._guard.needs_fence:
                     await self._orders.fence()
-            await self._poller.read()
+            await self._poller.poll()
         finally:
             self._polling = False
-        if self._predecessor_gone():
-            self._guard.predecessor_gone()
+        if self._has_predecessor_stopped():
+            self._guard.on_predecessor_stopped()
         self._loader.start_loads()
         self._changed.fire()
-        self._metrics.grants_out.labels(self._target.name).set(self._ledger.out)
+        self._metrics.grants_out.labels(self._target.name).set(self._ledger.outstanding)
 
-    def _told_residents(self) -> tuple[Resident, ...]:
+    def _announced_residents(self) -> tuple[Resident, ...]:
         """Return the residents and the loads that wait, so that others join them."""
         residents = self._residency.residents()
         known = {resident[:2] for resident in residents}
@@ -265,4 +265,4 @@
         the allowance, so that a restart makes no stampede on the weight store.
         """
         self._revoke(self._ledger.revoke_all())
-        self._loader.restarted()
+        self._loader.on_restart()
--- a/hawthornlead/engines/suspect_reservations.py
+++ b/hawthornlead/engines/suspect_reservations.py
@@ -28,7 +28,7 @@
 RETRY_AFTER_S = 0.2
 
 
-class _Place(NamedTuple):
+class _Reservation(NamedTuple):
     """Who holds a target's place, and until when if it is not given back."""
 
     request_id: str
@@ -41,10 +41,10 @@
     def __init__(self, *, timers: TimerService, mesh):
         self._timers = timers
         self._mesh = mesh
-        self._held: dict[str, _Place] = {}
-        self._taken: dict[str, str] = {}
-        mesh.on(ReserveSuspectSlot, self._on_take)
-        mesh.on(ReleaseSuspectSlot, self._on_give)
+        self._held: dict[str, _Reservation] = {}
+        self._owner_vms: dict[str, str] = {}
+        mesh.on(ReserveSuspectSlot, self._on_reserve)
+        mesh.on(ReleaseSuspectSlot, self._on_release)
 
     async def reserve(
         self, view: TargetView, request_id: str, hold_s: float
@@ -55,34 +55,36 @@
         owner, and with ``PEER_UNAVAILABLE`` when the owner does not answer.
         """
         if not view.owner_vm:
-            return Err(_taken(view.target, "has no owner"))
-        asked = ReserveSuspectSlot(view.target, request_id, hold_s)
-        reply = await self._mesh.call(view.owner_vm, asked)
+            return Err(_refusal(view.target, "has no owner"))
+        request = ReserveSuspectSlot(view.target, request_id, hold_s)
+        reply = await self._mesh.call(view.owner_vm, request)
         if isinstance(reply, Ok):
-            self._taken[request_id] = view.owner_vm
+            self._owner_vms[request_id] = view.owner_vm
         return reply.map(lambda _: None)
 
     def release(self, view: TargetView, request_id: str) -> None:
         """Give a place back, if one was taken; lost, it runs out by itself."""
-        owner_vm = self._taken.pop(request_id, None)
+        owner_vm = self._owner_vms.pop(request_id, None)
         if owner_vm is not None:
             send(self._mesh, owner_vm, ReleaseSuspectSlot(view.target, request_id))
 
-    async def _on_take(self, sender, message: ReserveSuspectSlot):
+    async def _on_reserve(self, sender, message: ReserveSuspectSlot):
         now = self._timers.now()
-        place = self._held.get(message.target)
-        held = place is not None and place.ends_at > now
-        if held and place.request_id != message.request_id:
-            return failed(_taken(message.target, "runs another suspect"))
-        self._held[message.target] = _Place(message.request_id, now + message.hold_s)
+        reservation = self._held.get(message.target)
+        held = reservation is not None and reservation.ends_at > now
+        if held and reservation.request_id != message.request_id:
+            return failed(_refusal(message.target, "runs another suspect"))
+        self._held[message.target] = _Reservation(
+            message.request_id, now + message.hold_s
+        )
         return Done()
 
-    async def _on_give(self, sender, message: ReleaseSuspectSlot):
-        place = self._held.get(message.target)
-        if place is not None and place.request_id == message.request_id:
+    async def _on_release(self, sender, message: ReleaseSuspectSlot):
+        reservation = self._held.get(message.target)
+        if reservation is not None and reservation.request_id == message.request_id:
             del self._held[message.target]
         return Done()
 
 
-def _taken(target: str, why: str) -> Failure:
+def _refusal(target: str, why: str) -> Failure:
     return Failure(ErrorKind.NO_GRANT, f"{target} {why}", RETRY_AFTER_S)
--- a/hawthornlead/engines/target_deaths.py
+++ b/hawthornlead/engines/target_deaths.py
@@ -63,7 +63,7 @@
 
     def running_fingerprints(self, target: str) -> tuple[bytes, ...]:
         """Return the fingerprints of what this VM runs on a target."""
-        return tuple(one.fingerprint for one in self._running[target].values())
+        return tuple(attempt.fingerprint for attempt in self._running[target].values())
 
     async def check(
         self, view: TargetView, attempt: RunningAttempt, failure: Failure
@@ -73,9 +73,9 @@
         Held against the boot id that was known when the attempt began: by now
         another attempt may have met the target's next start.
         """
-        there = (attempt, *self._running[view.target].values())
+        attempts = (attempt, *self._running[view.target].values())
         fingerprints = {
-            one.fingerprint for one in there if one.boot_id == attempt.boot_id
+            other.fingerprint for other in attempts if other.boot_id == attempt.boot_id
         }
         health = await self._clients.client(view.address).health()
         if isinstance(health, Err):
@@ -86,13 +86,13 @@
             self.record_boot_id(view.target, now)
             if attempt.boot_id in ("", now):
                 return
-        self._tell(view, attempt.boot_id, tuple(sorted(fingerprints)), failure)
+        self._report_death(view, attempt.boot_id, tuple(sorted(fingerprints)), failure)
 
     def record_boot_id(self, target: str, boot_id: str) -> None:
         """Note a target's boot id, as seen while it was well."""
         self._boot_ids[target] = boot_id
 
-    def _tell(self, view, boot_id: str, fingerprints, failure: Failure) -> None:
+    def _report_death(self, view, boot_id: str, fingerprints, failure: Failure) -> None:
         if failure.kind is not ErrorKind.TARGET_UNREACHABLE:
             message = CrashSuspects(view.target, boot_id, fingerprints)
             self._suspects.died(view.target, boot_id, fingerprints)
--- a/hawthornlead/engines/target_owners.py
+++ b/hawthornlead/engines/target_owners.py
@@ -26,15 +26,15 @@
 from .targets import TargetClient
 
 # States are told at most this often, soon after a change ...
-TELL_S = 0.1
+ANNOUNCE_INTERVAL_S = 0.1
 # ... and this often without one. With many targets the pause grows, so that all
 # owners together send each VM this many states a second.
-RETELL_S = 3.0
-STATES_PER_S = 40.0
+REANNOUNCE_INTERVAL_S = 3.0
+MAX_STATES_PER_S = 40.0
 DEFAULT_WEIGHT_STORE = "default"
 
 
-class _Told:
+class _Announced:
     """What was last told of one target."""
 
     def __init__(self):
@@ -43,7 +43,7 @@
         self.serial = 0
 
 
-class _Newcomer(NamedTuple):
+class _Incarnation(NamedTuple):
     """A VM's start, as the mesh tells VMs apart."""
 
     vm: str
@@ -75,11 +75,11 @@
         self._policies = policies._replace(copies=self._copies)
         self._make_client = make_client
         self._targets: dict[str, TargetOwner] = {}
-        self._told: dict[str, _Told] = {}
-        self._wanted: set[str] = set()
+        self._announced: dict[str, _Announced] = {}
+        self._requested: set[str] = set()
         # Until when evictions of targets that were given up may take effect.
-        self._evicts_end_at: dict[str, float] = {}
-        self._met: frozenset[_Newcomer] = frozenset()
+        self._evictions_end_at: dict[str, float] = {}
+        self._connected: frozenset[_Incarnation] = frozenset()
         self._timer = None
 
     @property
@@ -95,10 +95,12 @@
         self._mesh.on(TargetSuspect, self._on_suspect)
         self._owners.on_taken(self._on_taken)
         self._owners.on_lost(self._on_lost)
-        self._owners.set_open_order_check(self._has_open_order)
+        self._owners.set_open_order_check(self._has_pending_order)
         self._vm_list.subscribe(self._on_vm_list)
         self._on_vm_list()
-        self._timer = self._timers.every(TELL_S, self._tell_all, name="target states")
+        self._timer = self._timers.every(
+            ANNOUNCE_INTERVAL_S, self._announce_all, name="target states"
+        )
 
     async def stop(self) -> None:
         """Give up all targets."""
@@ -106,31 +108,31 @@
             self._timer.cancel()
         owners = list(self._targets.values())
         for name, owner in self._targets.items():
-            owner.give_up()
-            self._evicts_end_at[target_resource(name)] = owner.evicts_end_at
+            owner.release()
+            self._evictions_end_at[target_resource(name)] = owner.evictions_end_at
         self._targets.clear()
         for owner in owners:
             await owner.stop()
 
     def _on_vm_list(self, *_unused) -> None:
-        wanted = {}
+        required = {}
         for entry in self._vm_list.engines():
-            wanted[target_resource(entry.name)] = entry.data_centre
+            required[target_resource(entry.name)] = entry.data_centre
             store = allowance_resource(_weight_store(entry))
-            wanted.setdefault(store, entry.data_centre)
+            required.setdefault(store, entry.data_centre)
             if entry.name in self._targets:
                 self._targets[entry.name].leaving = entry.state == "leaving"
-        for resource, data_centre in wanted.items():
-            if resource not in self._wanted:
+        for resource, data_centre in required.items():
+            if resource not in self._requested:
                 self._owners.request(resource, data_centre)
-        for resource in self._wanted - wanted.keys():
+        for resource in self._requested - required.keys():
             self._owners.withdraw(resource)
-        self._wanted = set(wanted)
+        self._requested = set(required)
 
     def _on_taken(self, ownership) -> None:
         kind, _, name = ownership.resource.partition(":")
         if kind == "allowance":
-            self._allowances.taken(ownership)
+            self._allowances.on_taken(ownership)
             return
         entry = self._entry(name)
         if kind != "target" or entry is None:
@@ -138,7 +140,7 @@
         self._on_lost(ownership.resource)
         owner = self._build(entry, ownership)
         self._targets[name] = owner
-        self._told[name] = _Told()
+        self._announced[name] = _Announced()
         owner.leaving = entry.state == "leaving"
         owner.start()
         self._timers.after(0, owner.poll, name="target taken")
@@ -146,23 +148,23 @@
     def _on_lost(self, resource: str) -> None:
         kind, _, name = resource.partition(":")
         if kind == "allowance":
-            self._allowances.lost(resource)
+            self._allowances.on_lost(resource)
             return
         owner = self._targets.pop(name, None) if kind == "target" else None
         if owner is None:
             return
-        del self._told[name]
-        owner.give_up()
-        self._evicts_end_at[resource] = owner.evicts_end_at
+        del self._announced[name]
+        owner.release()
+        self._evictions_end_at[resource] = owner.evictions_end_at
         self._timers.after(0, owner.stop, name="target lost")
 
-    def _has_open_order(self, resource: str) -> bool:
+    def _has_pending_order(self, resource: str) -> bool:
         """Whether an eviction that this VM sent may still take effect.
 
         GRA-8: at a shutdown or a move the resource is given back at once. A successor
         that did not know of the open order would grant before it took effect.
         """
-        return self._timers.now() < self._evicts_end_at.get(resource, float("-inf"))
+        return self._timers.now() < self._evictions_end_at.get(resource, float("-inf"))
 
     def _entry(self, name: str):
         for entry in self._vm_list.engines():
@@ -187,10 +189,10 @@
             target=target,
             ownership=ownership,
             cast=lambda vm, message: send(self._mesh, vm, message),
-            predecessor_gone=lambda: self._predecessor_gone(ownership),
+            has_predecessor_stopped=lambda: self._has_predecessor_stopped(ownership),
         )
 
-    def _predecessor_gone(self, ownership) -> bool:
+    def _has_predecessor_stopped(self, ownership) -> bool:
         """Whether all earlier owners are proved to have stopped, by now."""
         owned = self._owners.owned(ownership.resource)
         if owned is None or owned.fence != ownership.fence:
@@ -208,42 +210,44 @@
                     copies += 1
         return max(0, copies)
 
-    def _tell_all(self) -> None:
+    def _announce_all(self) -> None:
         count = len(self._vm_list.engines())
-        retell_s = max(RETELL_S, count / STATES_PER_S)
+        reannounce_interval_s = max(REANNOUNCE_INTERVAL_S, count / MAX_STATES_PER_S)
         now = self._timers.now()
         for name, owner in self._targets.items():
-            told = self._told[name]
-            state = owner.state(told.serial)
-            if now - told.at < retell_s and not _differs(told.state, state):
+            announced = self._announced[name]
+            state = owner.state(announced.serial)
+            if now - announced.at < reannounce_interval_s and not _differs(
+                announced.state, state
+            ):
                 continue
-            told.serial += 1
-            told.at = now
-            told.state = state._replace(serial=told.serial)
-            self._views.take(told.state)
-            self._mesh.broadcast(told.state)
-        self._tell_newcomers()
-
-    def _tell_newcomers(self) -> None:
+            announced.serial += 1
+            announced.at = now
+            announced.state = state._replace(serial=announced.serial)
+            self._views.take(announced.state)
+            self._mesh.broadcast(announced.state)
+        self._announce_to_new_vms()
+
+    def _announce_to_new_vms(self) -> None:
         """Tell VMs that connected since the last turn what was told before.
 
         Guards against a VM that has just started and knows no target: it would
         refuse every request with no-target until the next retelling, seconds later.
         """
-        met = frozenset(
-            _Newcomer(peer.vm, peer.incarnation) for peer in self._mesh.live
+        connected = frozenset(
+            _Incarnation(peer.vm, peer.incarnation) for peer in self._mesh.live
         )
-        for newcomer in met - self._met:
-            for told in self._told.values():
-                if told.state is not None:
-                    self._mesh.cast(newcomer.vm, told.state)
-        self._met = met
-
-    async def _on_acquire(self, sender, ask: AcquireGrant):
-        owner = self._targets.get(ask.target)
+        for new_vm in connected - self._connected:
+            for announced in self._announced.values():
+                if announced.state is not None:
+                    self._mesh.cast(new_vm.vm, announced.state)
+        self._connected = connected
+
+    async def _on_acquire(self, sender, request: AcquireGrant):
+        owner = self._targets.get(request.target)
         if owner is None:
-            return _failed(_not_owner(ask.target))
-        outcome = await owner.grants.acquire(sender.vm, ask)
+            return _failed(_not_owner(request.target))
+        outcome = await owner.grants.acquire(sender.vm, request)
         if isinstance(outcome, Err):
             return _failed(outcome.err_value)
         return outcome.ok_value
@@ -271,13 +275,16 @@
     return str(entry.attributes.get("weight_store") or DEFAULT_WEIGHT_STORE)
 
 
-def _differs(told: TargetState | None, state: TargetState) -> bool:
+def _differs(announced: TargetState | None, state: TargetState) -> bool:
     """Whether what routing depends on has changed; counts wait for their turn."""
-    if told is None or (told.slots, told.leaving) != (state.slots, state.leaving):
+    if announced is None or (announced.slots, announced.leaving) != (
+        state.slots,
+        state.leaving,
+    ):
         return True
-    if told.boot_id != state.boot_id:
+    if announced.boot_id != state.boot_id:
         return True
-    before = [(r.adapter, r.version, r.loading) for r in told.residents]
+    before = [(r.adapter, r.version, r.loading) for r in announced.residents]
     after = [(r.adapter, r.version, r.loading) for r in state.residents]
     return before != after
 
--- a/hawthornlead/engines/target_pollers.py
+++ b/hawthornlead/engines/target_pollers.py
@@ -14,9 +14,9 @@
 from .targets import TargetClient
 
 # A probe is sent at least this often, for restarts; more often when a proof waits.
-PROBE_S = 2.0
+PROBE_INTERVAL_S = 2.0
 # Unanswered calls in a row after which the target counts as silent.
-MISSED_CALLS = 3
+MAX_MISSED_CALLS = 3
 
 
 class TargetPoller:
@@ -47,14 +47,14 @@
         self._guard = guard
         self._on_restart = on_restart
         self._missed = 0
-        self._probe_wanted = True
+        self._probe_requested = True
         self._running = 0
         self._queued = 0
 
     @property
     def silent(self) -> bool:
         """Whether the target has stopped answering."""
-        return self._missed >= MISSED_CALLS
+        return self._missed >= MAX_MISSED_CALLS
 
     @property
     def running(self) -> int:
@@ -66,11 +66,11 @@
         """The requests that waited there by the newest report."""
         return self._queued
 
-    def want_probe(self) -> None:
+    def request_probe(self) -> None:
         """Probe at the next reading."""
-        self._probe_wanted = True
+        self._probe_requested = True
 
-    async def read(self) -> None:
+    async def poll(self) -> None:
         """Probe if that is due, then read the report."""
         if self._probe_due():
             await self._probe()
@@ -78,9 +78,9 @@
 
     def _probe_due(self) -> bool:
         probed_at = self._clock.probed_at
-        if self._probe_wanted or probed_at is None:
+        if self._probe_requested or probed_at is None:
             return True
-        moments = [self._ledger.proof_wanted_after]
+        moments = [self._ledger.proof_required_after]
         if not self._guard.ready:
             moments.append(self._guard.ready_after)
         for slot in self._residency.slots():
@@ -89,21 +89,23 @@
         for moment in moments:
             if moment is not None and probed_at < moment <= now:
                 return True
-        return now - probed_at >= PROBE_S
+        return now - probed_at >= PROBE_INTERVAL_S
 
     async def _probe(self) -> None:
         sent_at = self._timers.now()
         health = await self._client.health()
-        self._answered(isinstance(health, Ok))
+        self._record_answer(isinstance(health, Ok))
         if isinstance(health, Err):
             return
-        self._probe_wanted = False
-        if self._clock.note(sent_at, health.ok_value.now, health.ok_value.boot_id):
-            self._restarted()
-
-    def _restarted(self) -> None:
-        self._residency.clear()
-        self._guard.restarted()
+        self._probe_requested = False
+        if self._clock.record_probe(
+            sent_at, health.ok_value.now, health.ok_value.boot_id
+        ):
+            self._handle_restart()
+
+    def _handle_restart(self) -> None:
+        self._residency.on_restart()
+        self._guard.on_restart()
         self._events.emit(
             EventKind.TARGET_RESTARTED, self._target, boot_id=self._clock.boot_id
         )
@@ -112,12 +114,12 @@
     async def _read_report(self) -> None:
         answer = await self._client.report()
         if isinstance(answer, Err):
-            self._answered(False)
+            self._record_answer(False)
             return
         report = answer.ok_value
         if report.boot_id != self._clock.boot_id:
             # Of another start: it tells nothing of this one, but asks for a probe.
-            self._probe_wanted = True
+            self._probe_requested = True
             return
         self._running = report.running
         self._queued = report.queued
@@ -126,9 +128,9 @@
         self._guard.observe(report.as_of)
         self._metrics.step_fill.labels(self._target).set(report.step_fill)
 
-    def _answered(self, answered: bool) -> None:
+    def _record_answer(self, got_answer: bool) -> None:
         was_silent = self.silent
-        self._missed = 0 if answered else self._missed + 1
+        self._missed = 0 if got_answer else self._missed + 1
         if self.silent == was_silent:
             return
         kind = EventKind.TARGET_SILENT if self.silent else EventKind.TARGET_ANSWERS
--- a/hawthornlead/engines/targets.py
+++ b/hawthornlead/engines/targets.py
@@ -25,7 +25,7 @@
 from ..messages import Resident
 
 # A call that asks and changes nothing: long enough for a busy engine's event loop.
-QUESTION_S = 2.0
+QUERY_TIMEOUT_S = 2.0
 MAX_CLIENTS = 200
 
 
@@ -110,11 +110,11 @@
         version: str,
         base_model: str,
         timeout_s: float,
-        still_right: Callable[[], bool] = lambda: True,
+        still_allowed: Callable[[], bool] = lambda: True,
     ) -> Result[OrderReply, Failure]:
         """Give one order and wait for it to be carried out.
 
-        ``still_right`` is asked once more after the connection was made, right
+        ``still_allowed`` is asked once more after the connection was made, right
         before the body is written. Without it a process that is frozen while it
         connects would, woken after its lease, still send the order.
         """
@@ -133,7 +133,7 @@
 
         async def write_body(write):
             nonlocal writing
-            if not still_right():
+            if not still_allowed():
                 raise _RightLostError
             writing = True
             await write(body)
@@ -154,28 +154,30 @@
                 # Without its body the target cannot have understood the order.
                 return Err(failure._replace(kind=ErrorKind.TARGET_UNREACHABLE))
             return answer
-        return _read(
+        return _decode(
             answer.ok_value, lambda b: OrderReply(float(b["now"]), b["boot_id"])
         )
 
     async def report(self) -> Result[Report, Failure]:
         """Read the target's report of its load."""
-        answer = await self._fetch("/report", QUESTION_S)
+        answer = await self._fetch("/report", QUERY_TIMEOUT_S)
         if isinstance(answer, Err):
             return answer
-        return _read(answer.ok_value, _read_report)
+        return _decode(answer.ok_value, _decode_report)
 
     async def health(self) -> Result[Health, Failure]:
         """Probe the target."""
-        answer = await self._fetch("/health", QUESTION_S)
+        answer = await self._fetch("/health", QUERY_TIMEOUT_S)
         if isinstance(answer, Err):
             return answer
-        return _read(answer.ok_value, lambda b: Health(b["boot_id"], float(b["now"])))
+        return _decode(answer.ok_value, lambda b: Health(b["boot_id"], float(b["now"])))
 
     async def cancel(self, request_id: str) -> Result[None, Failure]:
         """Cancel a request; one that the target does not know is no error."""
         body = json.dumps({"id": request_id}).encode()
-        answer = await self._fetch("/v1/cancel", QUESTION_S, method="POST", body=body)
+        answer = await self._fetch(
+            "/v1/cancel", QUERY_TIMEOUT_S, method="POST", body=body
+        )
         if isinstance(answer, Err):
             return answer
         return Ok(None)
@@ -243,7 +245,7 @@
         return client
 
 
-def _read(response: HTTPResponse, convert) -> Result:
+def _decode(response: HTTPResponse, convert) -> Result:
     try:
         return Ok(convert(json.loads(response.body)))
     except (ValueError, KeyError, TypeError, AttributeError) as error:
@@ -251,7 +253,7 @@
         return Err(Failure(ErrorKind.TARGET_LOST, f"malformed answer: {error!r}"))
 
 
-def _read_report(body: dict) -> Report:
+def _decode_report(body: dict) -> Report:
     residents = []
     for entry in body["residents"]:
         residents.append(
--- a/hawthornlead/tests/fakes_engines.py
+++ b/hawthornlead/tests/fakes_engines.py
@@ -156,7 +156,7 @@
         self.cut = False
 
     async def order(
-        self, op, fence, adapter, version, base_model, timeout_s, still_right
+        self, op, fence, adapter, version, base_model, timeout_s, still_allowed
     ):
         """Give one order."""
         await self._awake()
@@ -168,7 +168,7 @@
         if op is Order.EVICT and self.late_evict is not None:
             late, self.late_evict = self.late_evict, None
             await self._engine.timers.sleep(late[0])
-        if not still_right():
+        if not still_allowed():
             return Err(Failure(ErrorKind.NO_GRANT, "the right ended"))
         if late is not None:
             self._land_late(late[1], fence, AdapterVersion(adapter, version))
--- a/hawthornlead/tests/fakes_exchanges.py
+++ b/hawthornlead/tests/fakes_exchanges.py
@@ -3,7 +3,7 @@
 from result import Err, Ok
 from tornado.httputil import HTTPHeaders
 
-from hawthornlead.engines.exchanges import Head
+from hawthornlead.engines.exchanges import ResponseHead
 from hawthornlead.errors import ErrorKind, Failure
 
 
@@ -15,17 +15,17 @@
         self.head = None
         self.closed = False
 
-    async def send(self, method, path, headers, body, on_data, head_s):
+    async def send(self, method, path, headers, body, on_data, head_timeout_s):
         """Note the request and hand on the answer."""
         self._connections.sent.append(path)
         status, chunks = self._connections.answer
-        self.head = Head(status, HTTPHeaders({"Content-Type": "text/plain"}))
+        self.head = ResponseHead(status, HTTPHeaders({"Content-Type": "text/plain"}))
         for chunk in chunks:
             if not self.closed:
                 on_data(chunk)
         return Ok(self.head)
 
-    async def read_to_end(self, silent_s):
+    async def read_to_end(self, silence_timeout_s):
         """End the answer."""
         if self.closed:
             return Err(Failure(ErrorKind.TARGET_LOST, "closed within its answer"))
--- a/hawthornlead/tests/test_evict_guards.py
+++ b/hawthornlead/tests/test_evict_guards.py
@@ -6,7 +6,7 @@
 import pytest
 
 from hawthornlead.engines.engine_clocks import EngineClock
-from hawthornlead.engines.evict_guards import FENCE_FRESH_S, EvictGuard
+from hawthornlead.engines.evict_guards import FENCE_MAX_AGE_S, EvictGuard
 from hawthornlead.engines.grant_ledgers import AdapterVersion, GrantLedger
 from hawthornlead.engines.targets import Report
 from hawthornlead.messages import Resident
@@ -26,16 +26,16 @@
     def observe(self, boot_id="boot-1"):
         """Probe, then read a report of this moment that shows nothing running."""
         now = self.timers.now()
-        if self.clock.note(now, now, boot_id):
-            self.guard.restarted()
+        if self.clock.record_probe(now, now, boot_id):
+            self.guard.on_restart()
         residents = (Resident("tide", "1", 0),)
         self.ledger.observe(Report(boot_id, now, 1, 8, 0, 0, residents, 0, 0.0))
         self.guard.observe(now)
 
-    def fenced(self, boot_id="boot-1"):
+    def record_fenced(self, boot_id="boot-1"):
         """The target accepts the fence order, at once."""
         now = self.timers.now()
-        return self.guard.fenced(now, now, boot_id)
+        return self.guard.record_fenced(now, now, boot_id)
 
 
 def _parts(fencing, *, stopped=False, orders_s=0.0):
@@ -54,7 +54,7 @@
         ownership=Ownership("target:e", 2, now, "b", stopped, now + orders_s),
         fencing=fencing,
     )
-    guard.has_right()
+    guard.record_right()
     return _Parts(timers, clock, ledger, guard)
 
 
@@ -68,7 +68,7 @@
     await parts.timers.advance(1)
     parts.observe()
     assert not parts.guard.ready and not parts.guard.may_evict
-    assert parts.fenced()
+    assert parts.record_fenced()
     parts.observe()
     assert parts.guard.ready and parts.guard.may_evict
 
@@ -76,13 +76,13 @@
 async def test_restarted_target_has_to_be_told_again():
     """The target restarts and forgets the number; an old owner's counts again."""
     parts = _parts(True)
-    parts.fenced()
+    parts.record_fenced()
     parts.observe()
     await parts.timers.advance(1)
     parts.observe("boot-2")
     assert not parts.guard.ready and not parts.guard.may_evict
     assert parts.guard.needs_fence
-    assert parts.fenced("boot-2")
+    assert parts.record_fenced("boot-2")
     parts.observe("boot-2")
     assert parts.guard.ready and parts.guard.may_evict
 
@@ -97,15 +97,15 @@
     parts.observe()
     await parts.timers.advance(1)
     parts.observe("boot-2")
-    assert not parts.fenced("boot-1")
+    assert not parts.record_fenced("boot-1")
     parts.observe("boot-2")
     assert not parts.guard.ready and not parts.guard.may_evict
-    assert not parts.guard.fence_fresh()
+    assert not parts.guard.fence_is_fresh()
 
 
 async def test_restart_between_the_fence_order_and_the_first_probe():
     parts = _parts(True)
-    assert parts.fenced("boot-1")
+    assert parts.record_fenced("boot-1")
     parts.observe("boot-2")
     assert not parts.guard.ready and parts.guard.needs_fence
 
@@ -117,11 +117,13 @@
     it. A report from before that moment would let the successor evict under it.
     """
     parts = _parts(True)
-    parts.fenced()
-    await parts.timers.advance(parts.ledger.longest_s() + parts.ledger.send_s())
+    parts.record_fenced()
+    await parts.timers.advance(
+        parts.ledger.max_lifetime_s() + parts.ledger.max_send_s()
+    )
     parts.observe()
     assert not parts.ledger.idle(TIDE)
-    await parts.timers.advance(FENCE_FRESH_S)
+    await parts.timers.advance(FENCE_MAX_AGE_S)
     parts.observe()
     assert not parts.ledger.idle(TIDE)
     await parts.timers.advance(0.1)
@@ -136,15 +138,17 @@
     stopped, with a moment of its own that is earlier. The later one stays.
     """
     parts = _parts(True)
-    parts.fenced()
+    parts.record_fenced()
     parts.observe()
     await parts.timers.advance(0.1)
     parts.observe("boot-2")
-    parts.guard.predecessor_gone()
-    await parts.timers.advance(parts.ledger.longest_s() + parts.ledger.send_s() + 0.1)
+    parts.guard.on_predecessor_stopped()
+    await parts.timers.advance(
+        parts.ledger.max_lifetime_s() + parts.ledger.max_send_s() + 0.1
+    )
     parts.observe("boot-2")
     assert not parts.ledger.idle(TIDE)
-    await parts.timers.advance(FENCE_FRESH_S)
+    await parts.timers.advance(FENCE_MAX_AGE_S)
     parts.observe("boot-2")
     assert parts.ledger.idle(TIDE)
 
@@ -158,7 +162,7 @@
     """
     parts = _parts(fencing, stopped=True, orders_s=8.0)
     if fencing:
-        parts.fenced()
+        parts.record_fenced()
     await parts.timers.advance(7.9)
     parts.observe()
     assert parts.guard.ready is fencing
@@ -172,10 +176,12 @@
     await parts.timers.advance(60)
     parts.observe()
     assert not parts.guard.may_evict and not parts.ledger.idle(TIDE)
-    parts.guard.predecessor_gone()
+    parts.guard.on_predecessor_stopped()
     assert parts.guard.may_evict
     parts.observe()
     assert not parts.ledger.idle(TIDE)
-    await parts.timers.advance(parts.ledger.longest_s() + parts.ledger.send_s())
+    await parts.timers.advance(
+        parts.ledger.max_lifetime_s() + parts.ledger.max_send_s()
+    )
     parts.observe()
     assert parts.ledger.idle(TIDE)
--- a/hawthornlead/tests/test_exchanges.py
+++ b/hawthornlead/tests/test_exchanges.py
@@ -8,7 +8,7 @@
 from tornado.httputil import HTTPHeaders
 
 from hawthornlead.engines.exchanges import TargetConnections
-from hawthornlead.engines.grant_ledgers import SEND_S
+from hawthornlead.engines.grant_ledgers import MAX_SEND_S
 from hawthornlead.errors import ErrorKind
 from hawthornlead.timers import TimerService
 
@@ -53,6 +53,6 @@
     held_ms = exchange._stream.socket.getsockopt(
         socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT
     )
-    assert held_ms == SEND_S * 1000
+    assert held_ms == MAX_SEND_S * 1000
     exchange.close()
     listener.close()
--- a/hawthornlead/tests/test_grant_ledgers.py
+++ b/hawthornlead/tests/test_grant_ledgers.py
@@ -5,7 +5,7 @@
 import pytest
 
 from hawthornlead.engines.engine_clocks import EngineClock
-from hawthornlead.engines.grant_ledgers import SEND_S, AdapterVersion, GrantLedger
+from hawthornlead.engines.grant_ledgers import MAX_SEND_S, AdapterVersion, GrantLedger
 from hawthornlead.engines.targets import Report
 from hawthornlead.messages import Resident
 from hawthornlead.settings import default_settings
@@ -30,7 +30,7 @@
     def observe(self, running=0, queued=0, age_s=0.0):
         """Probe, and read a report of ``age_s`` seconds ago."""
         now = self.timers.now()
-        self.clock.note(now, now + ENGINE_AHEAD_S, "boot")
+        self.clock.record_probe(now, now + ENGINE_AHEAD_S, "boot")
         as_of = now + ENGINE_AHEAD_S - age_s
         residents = (Resident("tide", "1", running),)
         self.ledger.observe(
@@ -45,11 +45,11 @@
 
 async def _run_out(book):
     grant = book.ledger.issue("b", TIDE, 1)
-    await book.timers.advance(book.ledger.longest_s() + SEND_S)
-    # By a clock that is fast by its rate error, SEND_S is not over yet.
+    await book.timers.advance(book.ledger.max_lifetime_s() + MAX_SEND_S)
+    # By a clock that is fast by its rate error, MAX_SEND_S is not over yet.
     book.observe()
     assert not book.ledger.idle(TIDE)
-    await book.timers.advance(book.ledger.send_s() - SEND_S)
+    await book.timers.advance(book.ledger.max_send_s() - MAX_SEND_S)
     return grant
 
 
@@ -85,16 +85,16 @@
     request as it arrives.
     """
     book.ledger.issue("b", TIDE, 1)
-    await book.timers.advance(book.ledger.longest_s())
+    await book.timers.advance(book.ledger.max_lifetime_s())
     book.observe()
     assert not book.ledger.idle(TIDE)
 
 
 async def test_unknown_grants_cover_every_adapter(book):
-    book.ledger.distrust_until(None)
+    book.ledger.assume_unknown_until(None)
     book.observe()
     assert not book.ledger.idle(TIDE)
-    book.ledger.distrust_until(book.timers.now() + 5)
+    book.ledger.assume_unknown_until(book.timers.now() + 5)
     book.observe()
     assert not book.ledger.idle(TIDE)
     await book.timers.advance(5)
@@ -115,8 +115,8 @@
 
 def test_probe_of_another_start_forgets_the_old(book):
     clock = book.clock
-    assert not clock.note(10.0, 500.0, "one")
+    assert not clock.record_probe(10.0, 500.0, "one")
     assert clock.proves_after(500.0, 9.0) and not clock.proves_after(499.0, 9.0)
     assert not clock.proves_after(900.0, 11.0)
-    assert clock.note(20.0, 1.0, "two")
+    assert clock.record_probe(20.0, 1.0, "two")
     assert not clock.proves_after(500.0, 21.0) and clock.proves_after(1.0, 15.0)
--- a/hawthornlead/tests/test_hot_copies.py
+++ b/hawthornlead/tests/test_hot_copies.py
@@ -4,7 +4,7 @@
 
 from hawthornlead.decisions.placements import PLACEMENTS
 from hawthornlead.decisions.popularities import POPULARITIES
-from hawthornlead.engines.hot_copies import PAUSE_S, HotCopies
+from hawthornlead.engines.hot_copies import CHECK_INTERVAL_S, HotCopies
 from hawthornlead.errors import ErrorKind, Failure
 from hawthornlead.settings import default_settings
 from hawthornlead.timers import ManualTimerService
@@ -47,7 +47,7 @@
 async def test_a_hot_adapter_gets_one_more_copy_ahead():
     asked = await _asked(requests_per_s=40)
     assert asked and set(asked) == {("two", "tide", True)}
-    assert len(asked) <= 20 / PAUSE_S + 1
+    assert len(asked) <= 20 / CHECK_INTERVAL_S + 1
 
 
 async def test_a_cold_adapter_gets_none():
--- a/hawthornlead/tests/test_targets.py
+++ b/hawthornlead/tests/test_targets.py
@@ -33,9 +33,9 @@
     return TargetClient(f"127.0.0.1:{port}", rng=random.Random(1)), server, got
 
 
-async def _order(client, timeout_s=2.0, still_right=lambda: True):
+async def _order(client, timeout_s=2.0, still_allowed=lambda: True):
     return await client.order(
-        Order.LOAD, 3, "tide", "1", "base", timeout_s, still_right
+        Order.LOAD, 3, "tide", "1", "base", timeout_s, still_allowed
     )
 
 
@@ -96,7 +96,7 @@
     successor may have evicted. The right is checked again before the body.
     """
     client, server, got = await _engine((200, {"ok": True}, 0))
-    refused = await _order(client, still_right=lambda: False)
+    refused = await _order(client, still_allowed=lambda: False)
     assert refused.unwrap_err().kind is ErrorKind.NO_GRANT
     assert got == []
     server.stop()
