--- a/hawthornlead/gateway/candidate_scorers.py
+++ b/hawthornlead/gateway/candidate_scorers.py
@@ -128,7 +128,7 @@
             slots=slots,
             running=self._loads.running(target),
             holding=holding,
-            orderable=self._targets.orderable(target),
+            orderable=self._targets.is_orderable(target),
             suspect=self._healths.suspect(target),
             slow_ms=self._healths.cost_ms(target),
             near=entry.data_centre == self._data_centre,
--- a/hawthornlead/gateway/engine_releases.py
+++ b/hawthornlead/gateway/engine_releases.py
@@ -70,9 +70,9 @@
             # The store may or may not have taken it. The others find out by the lease.
             return
         word = TargetReleased(owner.target, released.fence)
-        self._targets.note_released(self._memberships.vm, word.target, word.fence)
+        self._targets.on_released(self._memberships.vm, word.target, word.fence)
         self._mesh.broadcast(word)
 
     async def _on_released(self, sender, message: TargetReleased) -> None:
-        self._targets.note_released(sender.vm, message.target, message.fence)
+        self._targets.on_released(sender.vm, message.target, message.fence)
         self._ownerships.note_released(message.target)
--- a/hawthornlead/gateway/engine_rooms.py
+++ b/hawthornlead/gateway/engine_rooms.py
@@ -96,7 +96,7 @@
             mesh=mesh,
             timers=timers,
             own=self._all_holdings,
-            on_told=targets.take_holdings,
+            on_told=targets.apply_holdings,
         )
         self._releases = EngineReleases(
             memberships=memberships,
@@ -287,9 +287,11 @@
     def _heard_restart(self, target: str, started_ms: int | None) -> None:
         """Take what a report of an engine showed; ``_on_restarted`` follows."""
         if started_ms is None:
-            self._targets.note_count_back(target)
+            self._targets.on_order_count_reset(target)
             return
-        self._targets.hear(Incarnation(target, started_ms), RestartSeen.REPORT)
+        self._targets.observe_incarnation(
+            Incarnation(target, started_ms), RestartSeen.REPORT
+        )
 
     def _spec(self, entry: TargetEntry) -> EngineSpec | None:
         service = self._configuration.service(entry.service)
@@ -299,7 +301,7 @@
 
     def _publish(self, owner: EngineOwner) -> None:
         """Tell all VMs, this one too, what an engine holds."""
-        self._targets.take_holdings(self._memberships.vm, owner.holdings)
+        self._targets.apply_holdings(self._memberships.vm, owner.holdings)
         self._tasks.spawn_once(f"tell {owner.target}", lambda: self._tell(owner))
 
     async def _tell(self, owner: EngineOwner) -> None:
@@ -328,7 +330,7 @@
         A message of a later start than the known one tells of a restart.
         """
         told = Incarnation(target, started_ms)
-        if not self._targets.hear(told, RestartSeen.WORD):
+        if not self._targets.observe_incarnation(told, RestartSeen.WORD):
             return None
         return self._owners.get(target)
 
--- a/hawthornlead/gateway/fleet_views.py
+++ b/hawthornlead/gateway/fleet_views.py
@@ -190,7 +190,7 @@
                     "target": entry.target,
                     "service": entry.service,
                     "owner": owner,
-                    "reached": self._targets.orderable(entry.target),
+                    "reached": self._targets.is_orderable(entry.target),
                 }
             )
         return rows
--- a/hawthornlead/gateway/gateways.py
+++ b/hawthornlead/gateway/gateways.py
@@ -39,7 +39,7 @@
 from .records import StoredRecord
 from .request_forwards import RequestForward
 from .target_loads import TargetLoads
-from .target_tables import essence_of_entry
+from .target_tables import effective_entry
 from .watchers import KindWatcher
 
 # What a VM that leaves needs to give its engines back: the end of an order and a call
@@ -276,18 +276,18 @@
             TARGETS_KIND: KindWatcher(
                 TARGETS_KIND,
                 **common,
-                on_changed=targets.take_entry,
-                on_deleted=targets.drop_entry,
-                on_unreadable=targets.drop_unreadable,
-                essence=essence_of_entry,
+                on_changed=targets.apply_entry,
+                on_deleted=targets.remove_entry,
+                on_unreadable=targets.remove_unreadable,
+                essence=effective_entry,
                 pause_s=TARGETS_PAUSE_S,
                 fetched=True,
             ),
             VERSIONS_KIND: KindWatcher(
                 VERSIONS_KIND,
                 **common,
-                on_changed=targets.take_version,
-                on_deleted=targets.drop_version,
+                on_changed=targets.apply_version,
+                on_deleted=targets.keep_version,
                 fetched=True,
             ),
             VMS_KIND: KindWatcher(
--- a/hawthornlead/gateway/leaving_notices.py
+++ b/hawthornlead/gateway/leaving_notices.py
@@ -24,8 +24,8 @@
 
     def note(self, incarnation: Incarnation) -> None:
         """Take the word of a target itself, and tell the other VMs."""
-        if self._targets.note_leaving(incarnation):
+        if self._targets.mark_leaving(incarnation):
             self._mesh.broadcast(TargetLeaves(*incarnation))
 
     async def _take(self, sender, message: TargetLeaves) -> None:
-        self._targets.note_leaving(Incarnation(message.target, message.started_ms))
+        self._targets.mark_leaving(Incarnation(message.target, message.started_ms))
--- a/hawthornlead/gateway/observed_targets.py
+++ b/hawthornlead/gateway/observed_targets.py
@@ -19,7 +19,7 @@
     ::
 
         beliefs = ObservedTarget(started_ms=1790000000000, since=timers.now())
-        beliefs.take("edge-1", holdings, timers.now())
+        beliefs.apply("edge-1", holdings, timers.now())
         beliefs.held(entry, AdapterKey("m", "a3"))
     """
 
@@ -41,7 +41,7 @@
         """How many adapters are on their way, as told."""
         return sum(not ready for _, ready in self._held.values())
 
-    def take(self, vm: str, told: TargetHoldings, now: float) -> None:
+    def apply(self, vm: str, told: TargetHoldings, now: float) -> None:
         """Take an owner's word; an older owner's counts no more."""
         number = self._told.number if self._told else -1
         if (told.fence, told.number) < (self.fence, number):
@@ -59,7 +59,7 @@
         for key in before.keys() - self._held.keys():
             self._recent.note(key)
 
-    def note_released(self, vm: str, fence: int) -> None:
+    def on_released(self, vm: str, fence: int) -> None:
         """Note that an owner gave the target back; its words of before count no more.
 
         In a large fleet they go through relays and may come after this one. A claim's
@@ -91,6 +91,6 @@
         """Whether the target held an adapter lately, which it loads faster then."""
         return key in self._recent
 
-    def note_absent(self, key: AdapterKey) -> None:
+    def mark_absent(self, key: AdapterKey) -> None:
         """Note that the target refused a request for lack of its adapter."""
         self._held.pop(key, None)
--- a/hawthornlead/gateway/placers.py
+++ b/hawthornlead/gateway/placers.py
@@ -281,7 +281,7 @@
         entry = placed.entry
         target = entry.target
         request = wanted.request
-        if not self._targets.orderable(target):
+        if not self._targets.is_orderable(target):
             return Ok(None)
         last = placed.tries >= MAX_LOAD_TRIES
         # One that was loaded for this request would be fetched again elsewhere, though
@@ -303,9 +303,9 @@
         if reply.is_err():
             return Ok(None)
         if not reply.ok_value.held:
-            self._targets.note_absent(target, placed.key)
+            self._targets.mark_absent(target, placed.key)
             return Err(Failure(ErrorKind.LOAD_FAILED, "the adapter has left", 0.2))
-        self._targets.note_turn(target, reply.ok_value.wait_s)
+        self._targets.record_turn(target, reply.ok_value.wait_s)
         if not reply.ok_value.reserved:
             return Err(Failure(ErrorKind.TOO_LATE_TO_START, "prompts wait there", 0.3))
         now = self._timers.now()
--- a/hawthornlead/gateway/target_attempts.py
+++ b/hawthornlead/gateway/target_attempts.py
@@ -327,7 +327,7 @@
             # One that was loaded for this request is said to be there by foresight and
             # may be late. Given up, it would be fetched again at the next engine, and
             # the more is fetched the later each fetch is.
-            self._parts.targets.note_absent(entry.target, key)
+            self._parts.targets.mark_absent(entry.target, key)
             return AttemptOutcome.REFUSED
         return AttemptOutcome.TOO_EARLY
 
--- a/hawthornlead/gateway/target_tables.py
+++ b/hawthornlead/gateway/target_tables.py
@@ -28,7 +28,7 @@
 LEAVING_KEPT_S = 60.0
 
 
-def essence_of_entry(record: StoredRecord) -> tuple:
+def effective_entry(record: StoredRecord) -> tuple:
     """Return what matters of a target's entry: not its adapters, nor its heartbeats.
 
     Which adapters an engine holds is told sooner, by the VM that orders it.
@@ -75,7 +75,7 @@
         entries = self._by_service.get(service, {}).values()
         return tuple([entry for entry in entries if not entry.draining])
 
-    def usable(self, target: str) -> bool:
+    def is_usable(self, target: str) -> bool:
         """Whether a target takes new work now."""
         entry = self._entries.get(target)
         return entry is not None and not entry.draining
@@ -105,7 +105,7 @@
         beliefs = self._beliefs.get(target)
         return beliefs.owner if beliefs else ""
 
-    def orderable(self, target: str) -> bool:
+    def is_orderable(self, target: str) -> bool:
         """Whether the VM that orders an engine can be asked now."""
         owner = self.owner(target)
         return bool(owner) and self._memberships.reaches(owner)
@@ -146,7 +146,7 @@
 
     # What the store tells
 
-    def take_entry(self, record: StoredRecord) -> None:
+    def apply_entry(self, record: StoredRecord) -> None:
         """Note a target's entry.
 
         Raises ``ValueError`` if it lacks the start that the target told before: it is
@@ -176,7 +176,7 @@
         self._missing.pop(entry.target, None)
         self._enter(entry)
 
-    def drop_entry(self, target: str) -> None:
+    def remove_entry(self, target: str) -> None:
         """Note that a target's entry was removed.
 
         An entry also lapses while the store is away, though its target lives. Then it
@@ -189,7 +189,7 @@
             return
         self._forget(target)
 
-    def drop_unreadable(self, target: str) -> None:
+    def remove_unreadable(self, target: str) -> None:
         """Note that a target's entry can't be read: it names no target any more.
 
         Unlike one that lapsed, such an entry is there: another writer may have put it
@@ -209,7 +209,7 @@
             if now - since > LEAVING_KEPT_S and leaving.target not in self._entries:
                 del self._leaving[leaving]
 
-    def take_version(self, record: StoredRecord) -> None:
+    def apply_version(self, record: StoredRecord) -> None:
         """Note that a version of an adapter was named."""
         named = read_adapter_version(record)
         key = AdapterKey(named.model, named.adapter)
@@ -222,12 +222,12 @@
             )
             self._versions[key] = named.version
 
-    def drop_version(self, name: str) -> None:
+    def keep_version(self, name: str) -> None:
         """Keep a version whose object was removed: none goes back to an older one."""
 
     # What targets and owners tell
 
-    def note_leaving(self, incarnation: Incarnation) -> bool:
+    def mark_leaving(self, incarnation: Incarnation) -> bool:
         """Take no new work to a target that said in an answer that it leaves.
 
         Its entry says so later, and not at all while the store is away. Return whether
@@ -243,24 +243,24 @@
         self._events.emit(EventKind.TARGET_LEAVES, known.target)
         return True
 
-    def take_holdings(self, vm: str, told: TargetHoldings) -> None:
+    def apply_holdings(self, vm: str, told: TargetHoldings) -> None:
         """Take an owner's word on its engine; an older owner's counts no more."""
         incarnation = Incarnation(told.target, told.started_ms)
-        if self.hear(incarnation, RestartSeen.WORD):
-            self._beliefs_of(told.target).take(vm, told, self._timers.now())
+        if self.observe_incarnation(incarnation, RestartSeen.WORD):
+            self._beliefs_of(told.target).apply(vm, told, self._timers.now())
 
-    def note_released(self, vm: str, target: str, fence: int) -> None:
+    def on_released(self, vm: str, target: str, fence: int) -> None:
         """Note that a VM gave an engine back which it had ordered under a fence."""
         beliefs = self._beliefs.get(target)
         if beliefs is not None:
-            beliefs.note_released(vm, fence)
+            beliefs.on_released(vm, fence)
 
     def turn_at(self, target: str) -> float:
         """Return when a prompt would have its turn at an engine, as last told."""
         beliefs = self._beliefs.get(target)
         return beliefs.turn_at if beliefs else 0.0
 
-    def note_turn(self, target: str, wait_s: float) -> None:
+    def record_turn(self, target: str, wait_s: float) -> None:
         """Note how long a prompt would wait at an engine, as its owner answered."""
         self._beliefs_of(target).turn_at = self._timers.now() + wait_s
 
@@ -269,13 +269,13 @@
         beliefs = self._beliefs.get(target)
         return beliefs.arriving if beliefs else 0
 
-    def note_absent(self, target: str, key: AdapterKey) -> None:
+    def mark_absent(self, target: str, key: AdapterKey) -> None:
         """Note that a target refused a request for lack of its adapter."""
-        self._beliefs_of(target).note_absent(key)
+        self._beliefs_of(target).mark_absent(key)
 
     # Incarnations
 
-    def hear(self, told: Incarnation, seen: RestartSeen) -> bool:
+    def observe_incarnation(self, told: Incarnation, seen: RestartSeen) -> bool:
         """Compare the start that a word speaks of; False if it is a former one.
 
         A word of a later start than the known one ends all belief in the known one.
@@ -296,7 +296,7 @@
         self._begin_incarnation(entry, seen)
         return True
 
-    def note_count_back(self, target: str) -> None:
+    def on_order_count_reset(self, target: str) -> None:
         """Note that an engine that tells no start counts its orders anew.
 
         Its new incarnation gets a start that is made up, for all VMs to tell it apart.
--- a/hawthornlead/tests/following_vms.py
+++ b/hawthornlead/tests/following_vms.py
@@ -20,7 +20,7 @@
 from hawthornlead.gateway.memberships import VMS_KIND, Memberships
 from hawthornlead.gateway.records import VmRecord
 from hawthornlead.gateway.store_clients import StoreClient
-from hawthornlead.gateway.target_tables import TargetTable, essence_of_entry
+from hawthornlead.gateway.target_tables import TargetTable, effective_entry
 from hawthornlead.gateway.watch_relays import WatchRelays
 from hawthornlead.gateway.watchers import KindWatcher
 from hawthornlead.messages import Heartbeat
@@ -92,16 +92,16 @@
             TARGETS_KIND: KindWatcher(
                 TARGETS_KIND,
                 **common,
-                on_changed=self.targets.take_entry,
-                on_deleted=self.targets.drop_entry,
-                on_unreadable=self.targets.drop_unreadable,
-                essence=essence_of_entry,
+                on_changed=self.targets.apply_entry,
+                on_deleted=self.targets.remove_entry,
+                on_unreadable=self.targets.remove_unreadable,
+                essence=effective_entry,
             ),
             VERSIONS_KIND: KindWatcher(
                 VERSIONS_KIND,
                 **common,
-                on_changed=self.targets.take_version,
-                on_deleted=self.targets.drop_version,
+                on_changed=self.targets.apply_version,
+                on_deleted=self.targets.keep_version,
             ),
             CONFIGURATION_KIND: KindWatcher(
                 CONFIGURATION_KIND,
--- a/hawthornlead/tests/gateways.py
+++ b/hawthornlead/tests/gateways.py
@@ -148,7 +148,7 @@
     def ready(self, gateway: gateways.Gateway) -> bool:
         """Whether a VM serves and knows who orders each engine."""
         targets = gateway._targets
-        owned = all(targets.orderable(engine.target) for engine in self.engines)
+        owned = all(targets.is_orderable(engine.target) for engine in self.engines)
         return gateway._memberships.serving and owned and len(targets.entries) >= 4
 
     def owner_fence(self, target: str) -> int:
--- a/hawthornlead/tests/test_gateway_restarts.py
+++ b/hawthornlead/tests/test_gateway_restarts.py
@@ -123,7 +123,7 @@
         (other,) = [each for each in deployment.engines if each is not engine]
         deployment.register(other, state="draining")
         targets = deployment.gateways[0]._targets
-        await deployment.until(lambda: not targets.usable(other.target))
+        await deployment.until(lambda: not targets.is_usable(other.target))
         for adapter in ("a2", "a3"):
             await served(deployment, adapter)
         await asyncio.sleep(0.5)
--- a/hawthornlead/tests/test_gateways.py
+++ b/hawthornlead/tests/test_gateways.py
@@ -231,7 +231,7 @@
         leaving, staying = deployment.plains
         deployment.register(leaving, state="draining")
         targets = deployment.gateways[0]._targets
-        await deployment.until(lambda: not targets.usable(leaving.target))
+        await deployment.until(lambda: not targets.is_usable(leaving.target))
         for _ in range(6):
             assert (await deployment.ask("/unsafe/x")).status == 200
         assert not leaving.ran
--- a/hawthornlead/tests/test_incarnations.py
+++ b/hawthornlead/tests/test_incarnations.py
@@ -69,13 +69,13 @@
         engine.born, engine.address = started_ms, address
         self._revision += 1
         record = StoredRecord("e1", self._revision, engine.entry(state), None)
-        self.targets.take_entry(record)
+        self.targets.apply_entry(record)
 
     def tell(self, started_ms, ready=True, fence=1, number=1, vm="vm-2"):
         """Take its owner's word that it holds the adapter."""
         held = HeldAdapters.of([HeldAdapter(*KEY, 1, ready)])
         told = TargetHoldings("e1", fence, number, ("tide",), held, 0.5, started_ms)
-        self.targets.take_holdings(vm, told)
+        self.targets.apply_holdings(vm, told)
 
     @property
     def started_ms(self):
@@ -128,7 +128,7 @@
 
 def test_a_word_of_a_later_start_drops_the_former_before_its_entry_comes(site):
     """A VM whose watch is behind sends requests to what is long gone."""
-    site.targets.hear(Incarnation("e1", SECOND), RestartSeen.WORD)
+    site.targets.observe_incarnation(Incarnation("e1", SECOND), RestartSeen.WORD)
     assert site.started_ms == SECOND
     assert site.holding is Holding.UNKNOWN
     site.tell(SECOND, ready=False)
@@ -136,7 +136,7 @@
     # An entry of the former start that was on its way, and then the new one's.
     site.enter(FIRST, state="draining")
     assert site.started_ms == SECOND
-    assert site.targets.usable("e1")
+    assert site.targets.is_usable("e1")
     site.enter(SECOND, "10.0.0.9:80")
     assert site.holding is Holding.ARRIVING
     assert site.targets.entries["e1"].address == "10.0.0.9:80"
@@ -151,7 +151,9 @@
     site.enter(SECOND)
     site.tell(FIRST, number=9)
     assert site.holding is Holding.ABSENT
-    assert not site.targets.hear(Incarnation("e1", FIRST), RestartSeen.REPORT)
+    assert not site.targets.observe_incarnation(
+        Incarnation("e1", FIRST), RestartSeen.REPORT
+    )
     assert site.started_ms == SECOND
     assert len(site.restarts) == 1
 
@@ -178,7 +180,7 @@
 
 def test_three_starts_in_a_row_are_each_told_once(site):
     site.enter(SECOND)
-    site.targets.hear(Incarnation("e1", THIRD), RestartSeen.REPORT)
+    site.targets.observe_incarnation(Incarnation("e1", THIRD), RestartSeen.REPORT)
     site.enter(THIRD)
     site.tell(SECOND)
     assert site.restarts == [(FIRST, SECOND), (SECOND, THIRD)]
@@ -190,7 +192,7 @@
     assert site.started_ms == FIRST
     assert site.holding is Holding.READY
     # Nor does it become one by the engine's own entry having gone.
-    site.targets.drop_entry("e1")
+    site.targets.remove_entry("e1")
     with pytest.raises(ValueError, match="start"):
         site.enter(None)
 
@@ -204,7 +206,7 @@
     assert not site.restarts
     site.enter(None, "10.0.0.9:80")
     assert site.holding is Holding.ABSENT
-    site.targets.note_count_back("e1")
+    site.targets.on_order_count_reset("e1")
     site.enter(None, "10.0.0.9:80")
     assert site.restarts == [(None, 1), (1, 2)]
     # Another VM hears of the made-up start from the owner.
@@ -216,7 +218,7 @@
 
 
 def test_an_entry_that_lapsed_and_returns_is_the_same_start(site):
-    site.targets.drop_entry("e1")
+    site.targets.remove_entry("e1")
     assert site.lost == [(Incarnation("e1", FIRST), Loss.ENTRY_GONE)]
     site.enter(FIRST)
     assert not site.restarts
--- a/hawthornlead/tests/test_leaving_targets.py
+++ b/hawthornlead/tests/test_leaving_targets.py
@@ -28,7 +28,7 @@
             arrived = len(target.arrivals)
             for gateway in deployment.gateways:
                 await deployment.until(
-                    lambda g=gateway, t=target: not g._targets.usable(t.target)
+                    lambda g=gateway, t=target: not g._targets.is_usable(t.target)
                 )
             for vm in (0, 1):
                 answers = await send_batch(deployment, vm, path, method, **headers)
--- a/hawthornlead/tests/test_placers.py
+++ b/hawthornlead/tests/test_placers.py
@@ -59,7 +59,7 @@
     def holding(self, entry, service, key):
         return Holding.ABSENT
 
-    def orderable(self, target):
+    def is_orderable(self, target):
         return True
 
     def owner(self, target):
@@ -71,7 +71,7 @@
     def turn_at(self, target):
         return 0.0
 
-    def note_turn(self, target, wait_s):
+    def record_turn(self, target, wait_s):
         """Take what an owner said of prompts."""
 
     def arriving(self, target):
--- a/hawthornlead/tests/test_whole_unreadable.py
+++ b/hawthornlead/tests/test_whole_unreadable.py
@@ -26,7 +26,7 @@
 
 def knows(deployment: Deployment, target: str) -> list[bool]:
     """Return for each VM whether it uses a target."""
-    return [gateway._targets.usable(target) for gateway in deployment.gateways]
+    return [gateway._targets.is_usable(target) for gateway in deployment.gateways]
 
 
 class Callers:
