--- a/hawthornlead/gateway/arrival_times.py
+++ b/hawthornlead/gateway/arrival_times.py
@@ -48,7 +48,7 @@
         if seen_after_s > REPORT_LAG_S + LOOK_HALF_S:
             self._seen.append(seen_after_s)
 
-    def too_early(self) -> None:
+    def record_too_early(self) -> None:
         """Note that an engine refused a request for an adapter said to be there."""
         if self._seen:
             self._seen.append(1.1 * max(self._seen))
--- a/hawthornlead/gateway/candidate_scorers.py
+++ b/hawthornlead/gateway/candidate_scorers.py
@@ -67,7 +67,7 @@
         self._slot_waits: dict[str, _SlotWait] = {}
         self._homes: dict[str, AdapterHomes] = {}
 
-    def scored(
+    def score(
         self,
         spec: ServiceSpec,
         key: AdapterKey,
@@ -96,14 +96,14 @@
         """Whether this VM may send a request to a target now, as far as it says."""
         return not self._rests.wait_s(target) and not self._limits.wait_s(target)
 
-    def note_full(self, target: str, failure: Failure) -> None:
+    def mark_full(self, target: str, failure: Failure) -> None:
         """Note that a target's owner has no slot to spare, if that is what failed."""
         if failure.kind is ErrorKind.NO_SLOT:
             believed_until = self._timers.now() + FULL_S
             wait_ms = 1000 * failure.retry_after_s
             self._slot_waits[target] = _SlotWait(believed_until, wait_ms)
 
-    def forget(self, target: str) -> None:
+    def discard(self, target: str) -> None:
         """Drop what was noted of a target that is gone, or started again."""
         self._slot_waits.pop(target, None)
 
@@ -129,7 +129,7 @@
             running=self._loads.running(target),
             holding=holding,
             orderable=self._targets.is_orderable(target),
-            suspect=self._healths.suspect(target),
+            suspect=self._healths.is_suspect(target),
             slow_ms=self._healths.cost_ms(target),
             near=entry.data_centre == self._data_centre,
             prompts_ms=1000 * max(0.0, self._targets.turn_at(target) - now),
--- a/hawthornlead/gateway/engine_rooms.py
+++ b/hawthornlead/gateway/engine_rooms.py
@@ -371,7 +371,7 @@
         if owner is None:
             return
         key = AdapterKey(message.model, message.adapter)
-        self._loads.take_ended(sender.vm, message.target, key, message.running)
+        self._loads.apply_ended(sender.vm, message.target, key, message.running)
         owner.end_turn(key, sender.vm)
 
     async def _on_missing(self, sender, message: AdapterMissing) -> None:
--- a/hawthornlead/gateway/fetch_followers.py
+++ b/hawthornlead/gateway/fetch_followers.py
@@ -106,7 +106,7 @@
         """
         early = self._timers.now() - slot.since < JUST_READY_S
         if early:
-            self._arrivals[key in self._recent].too_early()
+            self._arrivals[key in self._recent].record_too_early()
         return early
 
 
--- a/hawthornlead/gateway/gateway_parts.py
+++ b/hawthornlead/gateway/gateway_parts.py
@@ -291,17 +291,17 @@
     def drop_former(former: TargetEntry, entry: TargetEntry) -> None:
         """Drop what was noted of a target's start that is over."""
         known.connections.forget(former.address)
-        known.healths.forget(former.target)
-        known.loads.restarted(former.target)
+        known.healths.discard(former.target)
+        known.loads.on_restarted(former.target)
         placer.forget(former.target)
-        limits.forget(former.target)
-        rests.forget(former.target)
+        limits.discard(former.target)
+        rests.discard(former.target)
         deaths.restarted(former)
 
     known.targets.subscribe_restarts(drop_former)
     known.targets.subscribe(lambda lost, _: placer.forget(lost.target))
-    known.targets.subscribe(lambda lost, _: limits.forget(lost.target))
-    known.targets.subscribe(lambda lost, _: rests.forget(lost.target))
+    known.targets.subscribe(lambda lost, _: limits.discard(lost.target))
+    known.targets.subscribe(lambda lost, _: rests.discard(lost.target))
     return GatewayParts(
         core=core,
         metrics=metrics,
--- a/hawthornlead/gateway/gateways.py
+++ b/hawthornlead/gateway/gateways.py
@@ -325,7 +325,7 @@
     def _sweep(self) -> None:
         self._connections.sweep()
         self._targets.sweep()
-        self._parts.healths.keep(self._targets.entries)
+        self._parts.healths.retain(self._targets.entries)
         known = self._parts.configuration is not None
         self._memberships.note_serving(known and self._watchers[TARGETS_KIND].listed)
 
--- a/hawthornlead/gateway/load_words.py
+++ b/hawthornlead/gateway/load_words.py
@@ -102,7 +102,7 @@
 
     def tell(self) -> None:
         """Tell of this VM and its requests once, and pass on what was gathered."""
-        word = self._loads.word()
+        word = self._loads.build_update()
         self._on_word(word)
         if not self._mesh.large:
             self._count_quotas()
@@ -271,7 +271,7 @@
         """Take a head's word on members and targets."""
         if sender.vm != self._mesh.feed:
             return
-        self._loads.take_totals(message.running)
+        self._loads.apply_totals(message.running)
         self._quotas.take_states(message.quotas, message.quota_share)
         table = self._mesh.table
         if message.since == NOTHING_TOLD:
@@ -296,7 +296,7 @@
                 self._take(word.vm, VmLoads(word.loads))
 
     def _take(self, vm: str, word: VmLoads) -> None:
-        self._loads.take(vm, word)
+        self._loads.apply_loads(vm, word)
         self._on_word(word)
 
 
--- a/hawthornlead/gateway/loss_detectors.py
+++ b/hawthornlead/gateway/loss_detectors.py
@@ -168,7 +168,7 @@
             return
         if found is Found.UNKNOWN:
             return
-        self._healths.failed(belief.entry.target, gone=True)
+        self._healths.record_failure(belief.entry.target, gone=True)
         if found is not Found.NOTHING:
             belief.missed = max(belief.missed, UNANSWERED)
             self._prove(belief, STRONG[found])
@@ -185,7 +185,7 @@
         wrong = belief.proof
         if wrong is not None:
             # It counts as suspect for its silence only, which is over.
-            self._healths.answered(belief.entry.target, 0.0)
+            self._healths.record_answer(belief.entry.target, 0.0)
             self._metrics.wrong_losses.labels(wrong.value).inc()
             self._events.emit(
                 EventKind.TARGET_NOT_LOST,
--- a/hawthornlead/gateway/placers.py
+++ b/hawthornlead/gateway/placers.py
@@ -141,7 +141,7 @@
         reading = reading_share(wanted.route, request)
         tries = TargetSearch(
             excluded=wanted.excluded,
-            score=lambda excluded: self._survey.scored(spec, key, excluded, reading),
+            score=lambda excluded: self._survey.score(spec, key, excluded, reading),
             timers=self._timers,
         )
         while tries.left:
@@ -159,14 +159,14 @@
             target = best.candidate.target
             entry = self._targets.entries.get(target)
             if entry is None:
-                tries.note_failed(target, _gone())
+                tries.record_failure(target, _gone())
                 continue
             placed = Placed(
                 entry,
                 key if spec.engine else None,
                 *best,
                 tries.count,
-                counted=self._limits.limited(target),
+                counted=self._limits.is_limited(target),
             )
             slot_wait_s = slack_s if tries.is_full(target) else 0.0
             ready = await self._prepare_within_limit(
@@ -175,7 +175,7 @@
             if ready.is_ok():
                 return Ok(placed._replace(turn_s=ready.ok_value))
             failure = ready.err_value
-            tries.note_failed(target, failure)
+            tries.record_failure(target, failure)
         return Err(failure)
 
     async def _prepare_within_limit(
@@ -191,11 +191,11 @@
         It counts from here on: while its adapter is loaded others are placed.
         """
         target = placed.entry.target
-        if not self._limits.take(target):
+        if not self._limits.acquire(target):
             return Err(unwanted(self._limits.wait_s(target)))
         ready = await self._prepare(wanted, spec, placed, place_until, slot_wait_s)
         if ready.is_err() and placed.counted:
-            self._limits.give_back(target)
+            self._limits.refund(target)
         return ready
 
     async def _prepare(
@@ -222,7 +222,7 @@
             if not self._targets.is_current(entry):
                 return Err(_gone())
             if loaded.is_err():
-                self._survey.note_full(entry.target, loaded.err_value)
+                self._survey.mark_full(entry.target, loaded.err_value)
                 return loaded
         if spec.engine is not None:
             turn = await self._await_turn(wanted, placed)
@@ -250,7 +250,7 @@
 
     def forget(self, target: str) -> None:
         """Drop what was noted of a target that is gone, or started again."""
-        self._survey.forget(target)
+        self._survey.discard(target)
 
     def note_missing(self, target: str, key: AdapterKey) -> None:
         """Tell a target's owner that it refused a request for want of an adapter."""
@@ -265,7 +265,7 @@
         for entry in self._targets.of_service(spec.name):
             target = entry.target
             rest_s = self._rests.wait_s(target)
-            if rest_s or self._limits.limited(target):
+            if rest_s or self._limits.is_limited(target):
                 waits.append(max(rest_s, self._limits.wait_s(target)))
         return unwanted(min(waits)) if waits else None
 
--- a/hawthornlead/gateway/run_times.py
+++ b/hawthornlead/gateway/run_times.py
@@ -4,7 +4,7 @@
 last seconds: what waits at a full target waits that much shorter. Learned from all
 requests, from whose time the wait for a place is taken out by how many were ahead::
 
-    times.note(service, 0.09, running=12, slots=6)
+    times.record(service, 0.09, running=12, slots=6)
     times.run_ms(service)
 """
 
@@ -24,7 +24,7 @@
     def __init__(self):
         self._means_ms: dict[str, float] = {}
 
-    def note(
+    def record(
         self, service: ServiceSpec, took_s: float, running: int, slots: int
     ) -> None:
         """Note how long a request took that began as one of ``running``."""
--- a/hawthornlead/gateway/target_attempts.py
+++ b/hawthornlead/gateway/target_attempts.py
@@ -94,7 +94,7 @@
         if not self._parts.targets.is_current(entry):
             exchange.close()
             return AttemptOutcome.UNREACHED
-        self._parts.loads.began(entry.target, placed.key)
+        self._parts.loads.on_request_started(entry.target, placed.key)
         slots = spec.engine.batch if spec.engine else entry.slots
         self._slots = slots
         self._running = self._parts.loads.running(entry.target)
@@ -106,7 +106,7 @@
             return await self._fetch_from(route, entry, exchange, follower)
         finally:
             losses.unfollow(follower)
-            self._parts.loads.ended(entry.target, placed.key)
+            self._parts.loads.on_request_ended(entry.target, placed.key)
 
     def _may_send(self, placed: Placed) -> bool:
         """Whether the target wants the request yet.
@@ -116,7 +116,7 @@
         target = placed.entry.target
         if self._parts.rests.wait_s(target):
             return False
-        return placed.counted or self._parts.limits.take(target)
+        return placed.counted or self._parts.limits.acquire(target)
 
     def _send(
         self,
@@ -217,7 +217,7 @@
             )
         if relay.first_at is not None:
             wait_ms = (relay.first_at - sent_at) * 1000
-            self._parts.healths.answered(entry.target, wait_ms)
+            self._parts.healths.record_answer(entry.target, wait_ms)
         return self._end_stream(placed, exchange, relay, follower, sent_at)
 
     def _end_stream(
@@ -290,11 +290,11 @@
         if head.status == ANOTHER_ID or not self._parts.targets.is_current(entry):
             return
         if head.signs.rest_s:
-            self._parts.rests.note(entry.target, head.signs.rest_s)
+            self._parts.rests.record(entry.target, head.signs.rest_s)
         if head.signs.leaving:
             self._parts.leaving_notices.note(entry.incarnation)
         limit_per_s = head.signs.limit_per_s
-        self._parts.limits.note_answer(entry.incarnation, limit_per_s, sent_at)
+        self._parts.limits.record_answer(entry.incarnation, limit_per_s, sent_at)
 
     def _blame(self, entry: TargetEntry, gone: bool = False) -> None:
         """Count a failure against a target, if it is that of the start known now.
@@ -303,7 +303,7 @@
         against the next one, it would be left aside though it is well.
         """
         if self._parts.targets.is_current(entry):
-            self._parts.healths.failed(entry.target, gone)
+            self._parts.healths.record_failure(entry.target, gone)
 
     def _note_lost(self, entry: TargetEntry, exchange: Exchange) -> AttemptOutcome:
         self._blame(entry)
@@ -336,7 +336,7 @@
             self._blame(entry)
             return
         wait_ms = (self._parts.timers.now() - sent_at) * 1000
-        self._parts.healths.answered(entry.target, wait_ms)
+        self._parts.healths.record_answer(entry.target, wait_ms)
         self._note_run(entry, sent_at)
 
     def _note_run(self, entry: TargetEntry, sent_at: float) -> None:
@@ -344,4 +344,4 @@
         spec = self._parts.configuration.service(entry.service)
         if spec is not None:
             took_s = self._parts.timers.now() - sent_at
-            self._parts.run_times.note(spec, took_s, self._running, self._slots)
+            self._parts.run_times.record(spec, took_s, self._running, self._slots)
--- a/hawthornlead/gateway/target_backoffs.py
+++ b/hawthornlead/gateway/target_backoffs.py
@@ -9,7 +9,7 @@
 
     ::
 
-        rests.note("i-7f3a", rest_s=3.0)
+        rests.record("i-7f3a", rest_s=3.0)
         rests.wait_s("i-7f3a")
     """
 
@@ -18,7 +18,7 @@
         self._events = events
         self._until: dict[str, float] = {}
 
-    def note(self, target: str, rest_s: float) -> None:
+    def record(self, target: str, rest_s: float) -> None:
         """Note that a target wants no request for so long from now on."""
         if not self.wait_s(target):
             self._events.emit(EventKind.TARGET_RESTS, target, rest_s=rest_s)
@@ -36,6 +36,6 @@
             return 0.0
         return left_s
 
-    def forget(self, target: str) -> None:
+    def discard(self, target: str) -> None:
         """Drop the rest of a target whose start is over."""
         self._until.pop(target, None)
--- a/hawthornlead/gateway/target_healths.py
+++ b/hawthornlead/gateway/target_healths.py
@@ -40,8 +40,8 @@
 
     ::
 
-        healths.answered("i-7f3a", wait_ms=210.0)
-        healths.failed("i-7f3a")
+        healths.record_answer("i-7f3a", wait_ms=210.0)
+        healths.record_failure("i-7f3a")
         healths.cost_ms("i-7f3a")
     """
 
@@ -49,7 +49,7 @@
         self._timers = timers
         self._healths: dict[str, _Health] = {}
 
-    def answered(self, target: str, wait_ms: float) -> None:
+    def record_answer(self, target: str, wait_ms: float) -> None:
         """Note an answer that began after ``wait_ms``."""
         health = self._aged(target)
         health.in_a_row = 0
@@ -57,7 +57,7 @@
         health.failing *= 1 - NEW_WEIGHT
         health.wait_ms += NEW_WEIGHT * (wait_ms - health.wait_ms)
 
-    def failed(self, target: str, gone: bool = False) -> None:
+    def record_failure(self, target: str, gone: bool = False) -> None:
         """Note a request that the target failed; ``gone`` if it can't be reached."""
         health = self._aged(target)
         health.failing += NEW_WEIGHT * (1 - health.failing)
@@ -66,7 +66,7 @@
             wait_s = min(MOST_SUSPECT_S, SUSPECT_S * 2 ** min(4, health.in_a_row - 1))
             health.suspect_until = self._timers.now() + wait_s
 
-    def suspect(self, target: str) -> bool:
+    def is_suspect(self, target: str) -> bool:
         """Whether a target failed so that only a last resort goes there."""
         health = self._healths.get(target)
         return health is not None and health.suspect_until > self._timers.now()
@@ -79,11 +79,11 @@
         slow_ms = max(0.0, health.wait_ms - SLOW_FLOOR_MS)
         return FAILURE_MS * health.failing + slow_ms
 
-    def forget(self, target: str) -> None:
+    def discard(self, target: str) -> None:
         """Drop what is known of a target that started again: it may be well."""
         self._healths.pop(target, None)
 
-    def keep(self, targets: Container[str]) -> None:
+    def retain(self, targets: Container[str]) -> None:
         """Drop what is known of all targets but these: the others are gone."""
         for target in tuple(self._healths):
             if target not in targets:
--- a/hawthornlead/gateway/target_limits.py
+++ b/hawthornlead/gateway/target_limits.py
@@ -51,8 +51,8 @@
     ``vms`` returns how many VMs share a limit, ``incarnation`` the known start of a
     target::
 
-        limits.note_answer(entry.incarnation, 3.3, sent_at=timers.now())
-        if limits.take("i-7f3a"):
+        limits.record_answer(entry.incarnation, 3.3, sent_at=timers.now())
+        if limits.acquire("i-7f3a"):
             ...
     """
 
@@ -82,12 +82,12 @@
         return {
             target: self._limits[target].per_s
             for target in targets
-            if self.limited(target)
+            if self.is_limited(target)
         }
 
     # What may be sent
 
-    def limited(self, target: str) -> bool:
+    def is_limited(self, target: str) -> bool:
         """Whether a target names a limit now."""
         return self._current(target) is not None
 
@@ -96,12 +96,12 @@
         limit = self._current(target)
         return limit.share.wait_s(self._timers.now()) if limit is not None else 0.0
 
-    def take(self, target: str) -> bool:
+    def acquire(self, target: str) -> bool:
         """Count a request that is to be sent; False if the limit doesn't allow it."""
         limit = self._current(target)
         return limit is None or limit.share.take(self._timers.now())
 
-    def give_back(self, target: str) -> None:
+    def refund(self, target: str) -> None:
         """Count a request no more that was not sent."""
         limit = self._current(target)
         if limit is not None:
@@ -109,7 +109,7 @@
 
     # What targets name
 
-    def note_answer(
+    def record_answer(
         self, incarnation: Incarnation, per_s: float | None, sent_at: float
     ) -> None:
         """Take the limit that a target names in an answer, None for no limit.
@@ -132,7 +132,7 @@
             limit.told_per_s = per_s
             self._tell(incarnation, per_s)
 
-    def forget(self, target: str) -> None:
+    def discard(self, target: str) -> None:
         """Drop the limit of a target whose start is over."""
         self._limits.pop(target, None)
 
--- a/hawthornlead/gateway/target_loads.py
+++ b/hawthornlead/gateway/target_loads.py
@@ -38,9 +38,9 @@
 
     ``incarnation`` tells it, as this VM knows it::
 
-        loads.began("i-7f3a", AdapterKey("m", "a3"))
+        loads.on_request_started("i-7f3a", AdapterKey("m", "a3"))
         loads.running("i-7f3a")
-        loads.ended("i-7f3a", AdapterKey("m", "a3"))
+        loads.on_request_ended("i-7f3a", AdapterKey("m", "a3"))
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         """This VM's requests on all targets."""
         return sum(self._own.values())
 
-    def began(self, target: str, key: AdapterKey | None) -> None:
+    def on_request_started(self, target: str, key: AdapterKey | None) -> None:
         """Count a request that goes to a target now."""
         self._own[target] += 1
         if key is None:
@@ -80,7 +80,7 @@
         started = self._started.setdefault(target, defaultdict(int))
         started[key] += 1
 
-    def ended(self, target: str, key: AdapterKey | None) -> None:
+    def on_request_ended(self, target: str, key: AdapterKey | None) -> None:
         """Count a request that has ended.
 
         Those that began at a former start are taken to end first, since nothing runs
@@ -103,7 +103,7 @@
         if not uses:
             del self._own_uses[target]
 
-    def restarted(self, target: str) -> None:
+    def on_restarted(self, target: str) -> None:
         """Count no more what this VM's requests use at a target's former start."""
         running = self._own.pop(target, 0)
         uses = self._own_uses.pop(target, {})
@@ -138,7 +138,7 @@
                 totals.append(TargetRunning(target, running, started_ms))
         return tuple(totals)
 
-    def take_totals(self, totals: tuple[TargetRunning, ...]) -> None:
+    def apply_totals(self, totals: tuple[TargetRunning, ...]) -> None:
         """Take the requests of all VMs by target, as a head counted them."""
         self._totals_at = self._timers.now()
         self._totals = {
@@ -146,7 +146,7 @@
             for each in totals
         }
 
-    def take(self, vm: str, message: VmLoads) -> None:
+    def apply_loads(self, vm: str, message: VmLoads) -> None:
         """Take another VM's word."""
         now = self._timers.now()
         for target in self._told_targets.get(vm, ()):
@@ -155,7 +155,7 @@
         for load in message.loads:
             self._told.setdefault(load.target, {})[vm] = _Told(now, load)
 
-    def word(self) -> VmLoads:
+    def build_update(self) -> VmLoads:
         """Return what the other VMs are told, and begin to count starts anew."""
         started, self._started = self._started, {}
         loads = []
@@ -176,7 +176,7 @@
         """Return how many requests of this VM use an adapter of a target."""
         return self._own_uses.get(target, {}).get(key, 0)
 
-    def take_ended(self, vm: str, target: str, key: AdapterKey, running: int) -> None:
+    def apply_ended(self, vm: str, target: str, key: AdapterKey, running: int) -> None:
         """Take how many of another VM's requests still use an adapter of a target.
 
         This is newer than the VM's last word on all its requests.
--- a/hawthornlead/gateway/target_searches.py
+++ b/hawthornlead/gateway/target_searches.py
@@ -4,7 +4,7 @@
 
     tries = TargetSearch(excluded=frozenset(), score=score, timers=timers)
     best = tries.best(slack_s=0.4)
-    tries.note_failed(best.candidate.target, failure)
+    tries.record_failure(best.candidate.target, failure)
 """
 
 import math
@@ -87,7 +87,7 @@
                 return each
         return None
 
-    def note_failed(self, target: str, failure: Failure) -> None:
+    def record_failure(self, target: str, failure: Failure) -> None:
         """Note why a target didn't take the request."""
         if failure.kind is ErrorKind.NO_SLOT and target not in self._full:
             self._full[target] = failure.retry_after_s
--- a/hawthornlead/tests/test_former_starts.py
+++ b/hawthornlead/tests/test_former_starts.py
@@ -34,10 +34,10 @@
         engine = await loaded(deployment)
         for gateway in deployment.gateways:
             for _ in range(5):
-                gateway._parts.healths.failed(engine.target, gone=True)
-            gateway._parts.loads.began(engine.target, KEY)
+                gateway._parts.healths.record_failure(engine.target, gone=True)
+            gateway._parts.loads.on_request_started(engine.target, KEY)
             full = Failure(ErrorKind.NO_SLOT, "no slot to spare", 0.2)
-            gateway._parts.placer._survey.note_full(engine.target, full)
+            gateway._parts.placer._survey.mark_full(engine.target, full)
             assert engine.target in gateway._parts.placer._survey._slot_waits
         told = deployment.gateways[0]._parts.loads
         await deployment.until(lambda: told.running(engine.target) == 2)
@@ -46,11 +46,11 @@
         await all_know(deployment, engine)
         for gateway in deployment.gateways:
             parts = gateway._parts
-            assert not parts.healths.suspect(engine.target)
+            assert not parts.healths.is_suspect(engine.target)
             assert parts.healths.cost_ms(engine.target) == 0
             assert parts.loads.running(engine.target) == 0
             assert engine.target not in parts.placer._survey._slot_waits
-            parts.loads.ended(engine.target, KEY)
+            parts.loads.on_request_ended(engine.target, KEY)
             assert parts.loads.running(engine.target) == 0
             assert parts.loads.own_total == 0
 
@@ -145,7 +145,7 @@
             attempts._blame(former)
             attempts._note_refused(former, 421, placed_at(former))
         healths = gateway._parts.healths
-        assert not healths.suspect(engine.target)
+        assert not healths.is_suspect(engine.target)
         assert healths.cost_ms(engine.target) == 0.0
         attempts._blame(gateway._targets.entries[engine.target])
         assert healths.cost_ms(engine.target) > 0.0
--- a/hawthornlead/tests/test_gateway_decisions.py
+++ b/hawthornlead/tests/test_gateway_decisions.py
@@ -137,7 +137,7 @@
         times.observe(0.37)
     before = times.expected_s
     for _ in range(4):
-        times.too_early()
+        times.record_too_early()
     assert times.expected_s > before
 
 
@@ -232,41 +232,41 @@
 def test_loads_of_silent_vms_are_forgotten(timers):
     loads = TargetLoads(timers=timers)
     told = VmLoads((TargetLoad("e1", 4, (AdapterUse("tide", "a1", 4, 4),)),))
-    loads.take("vm-2", told)
-    loads.began("e1", key("a1"))
+    loads.apply_loads("vm-2", told)
+    loads.on_request_started("e1", key("a1"))
     assert loads.running("e1") == 5
     assert loads.adapters_running("e1") == {key("a1"): 5}
     timers._now += TOLD_KEPT_S + 1
     assert loads.running("e1") == 1
-    loads.ended("e1", key("a1"))
+    loads.on_request_ended("e1", key("a1"))
     assert loads.own_total == 0
 
 
 def test_each_start_is_told_once_even_if_it_has_ended(timers):
     loads = TargetLoads(timers=timers)
-    loads.began("e1", key("a1"))
-    loads.ended("e1", key("a1"))
-    (load,) = loads.word().loads
+    loads.on_request_started("e1", key("a1"))
+    loads.on_request_ended("e1", key("a1"))
+    (load,) = loads.build_update().loads
     assert load.uses == (AdapterUse("tide", "a1", 0, 1),)
-    assert loads.word().loads == ()
+    assert loads.build_update().loads == ()
 
 
 def test_a_target_that_cannot_be_reached_is_suspect_for_a_while(timers):
     healths = TargetHealths(timers=timers)
-    healths.failed("e1", gone=True)
-    assert healths.suspect("e1")
+    healths.record_failure("e1", gone=True)
+    assert healths.is_suspect("e1")
     timers._now += 1.0
-    assert not healths.suspect("e1")
-    healths.failed("e1", gone=True)
-    healths.answered("e1", wait_ms=50)
-    assert not healths.suspect("e1")
+    assert not healths.is_suspect("e1")
+    healths.record_failure("e1", gone=True)
+    healths.record_answer("e1", wait_ms=50)
+    assert not healths.is_suspect("e1")
 
 
 def test_failures_cost_and_are_forgotten(timers):
     healths = TargetHealths(timers=timers)
     for _ in range(5):
-        healths.failed("e1")
-        healths.answered("e1", wait_ms=50)
+        healths.record_failure("e1")
+        healths.record_answer("e1", wait_ms=50)
     cost = healths.cost_ms("e1")
     assert cost > 500
     timers._now += 30
@@ -315,13 +315,13 @@
     """
     healths = TargetHealths(timers=timers)
     for target in ("e1", "e2"):
-        healths.failed(target, gone=True)
-    healths.keep({"e2"})
-    assert not healths.suspect("e1")
-    assert healths.suspect("e2")
+        healths.record_failure(target, gone=True)
+    healths.retain({"e2"})
+    assert not healths.is_suspect("e1")
+    assert healths.is_suspect("e2")
     loads = TargetLoads(timers=timers)
-    loads.began("e1", key("a1"))
-    loads.ended("e1", key("a1"))
+    loads.on_request_started("e1", key("a1"))
+    loads.on_request_ended("e1", key("a1"))
     assert loads.adapters_running("e1") == {}
     assert not loads._own_uses
 
--- a/hawthornlead/tests/test_incarnations.py
+++ b/hawthornlead/tests/test_incarnations.py
@@ -231,25 +231,25 @@
     VM's own ended later, taking away from the count of the new start.
     """
     loads = TargetLoads(timers=site.timers, incarnation=site.targets.incarnation)
-    site.targets.subscribe_restarts(lambda former, _: loads.restarted(former.target))
+    site.targets.subscribe_restarts(lambda former, _: loads.on_restarted(former.target))
     used = (AdapterUse(*KEY, 4, 4),)
-    loads.take("vm-2", VmLoads((TargetLoad("e1", 4, used, FIRST),)))
+    loads.apply_loads("vm-2", VmLoads((TargetLoad("e1", 4, used, FIRST),)))
     for key in (KEY, KEY, None):
-        loads.began("e1", key)
+        loads.on_request_started("e1", key)
     assert loads.running("e1") == 7
     site.enter(SECOND)
     assert loads.running("e1") == 0
     assert loads.adapters_running("e1") == {}
-    loads.began("e1", KEY)
+    loads.on_request_started("e1", KEY)
     for key in (KEY, KEY, None):
-        loads.ended("e1", key)
+        loads.on_request_ended("e1", key)
     assert loads.running("e1") == 1
-    assert loads.word().loads == (
+    assert loads.build_update().loads == (
         TargetLoad("e1", 1, (AdapterUse(*KEY, 1, 1),), SECOND),
     )
-    loads.ended("e1", KEY)
+    loads.on_request_ended("e1", KEY)
     assert loads.own_total == 0
-    loads.take("vm-2", VmLoads((TargetLoad("e1", 2, used, SECOND),)))
+    loads.apply_loads("vm-2", VmLoads((TargetLoad("e1", 2, used, SECOND),)))
     assert loads.running("e1") == 2
 
 
--- a/hawthornlead/tests/test_leaving_targets.py
+++ b/hawthornlead/tests/test_leaving_targets.py
@@ -50,7 +50,7 @@
         await deployment.until(
             lambda: known.incarnation(target.target).started_ms == started_ms
         )
-        assert known.usable(target.target)
+        assert known.is_usable(target.target)
         arrived = len(target.arrivals)
         await send_batch(deployment, 0, "/safe/x", "GET")
         assert len(target.arrivals) > arrived
--- a/hawthornlead/tests/test_limit_words.py
+++ b/hawthornlead/tests/test_limit_words.py
@@ -44,7 +44,7 @@
         )
 
     def answer(self, per_s, asked_s_ago=0.0):
-        self.limits.note_answer(ENGINE, per_s, self.timers.now() - asked_s_ago)
+        self.limits.record_answer(ENGINE, per_s, self.timers.now() - asked_s_ago)
 
     async def hear(self, per_s, started_ms=1000):
         message = TargetLimit("e1", per_s, started_ms)
@@ -78,7 +78,7 @@
     vm.answer(3.3)
     await vm.timers.advance(1.0)
     vm.answer(None)
-    assert not vm.limits.limited("e1")
+    assert not vm.limits.is_limited("e1")
     assert vm.mesh.sent[-1] == TargetLimit("e1", None, 1000)
 
 
@@ -86,31 +86,31 @@
     await vm.timers.advance(1.0)
     vm.answer(3.3)
     vm.answer(None, asked_s_ago=0.4)
-    assert vm.limits.limited("e1")
+    assert vm.limits.is_limited("e1")
 
 
 async def test_a_limit_that_nobody_confirms_is_dropped(vm):
     vm.answer(3.3)
     await vm.timers.advance(KEPT_S - 0.1)
-    assert vm.limits.limited("e1")
+    assert vm.limits.is_limited("e1")
     await vm.timers.advance(0.2)
-    assert not vm.limits.limited("e1")
-    assert vm.limits.take("e1")
+    assert not vm.limits.is_limited("e1")
+    assert vm.limits.acquire("e1")
 
 
 async def test_a_word_on_a_former_start_is_left_aside(vm):
     await vm.hear(3.3, started_ms=900)
-    assert not vm.limits.limited("e1")
+    assert not vm.limits.is_limited("e1")
     await vm.hear(3.3)
     await vm.hear(None)
-    assert not vm.limits.limited("e1")
+    assert not vm.limits.is_limited("e1")
 
 
 def test_a_vm_that_was_told_holds_its_requests_back(vm):
-    assert vm.limits.take("e1")
+    assert vm.limits.acquire("e1")
     vm.answer(3.3)
-    assert not vm.limits.take("e1")
+    assert not vm.limits.acquire("e1")
     assert vm.limits.wait_s("e1") > 0
     assert vm.limits.wait_s("e2") == 0
-    vm.limits.forget("e1")
-    assert vm.limits.take("e1")
+    vm.limits.discard("e1")
+    assert vm.limits.acquire("e1")
--- a/hawthornlead/tests/test_load_words.py
+++ b/hawthornlead/tests/test_load_words.py
@@ -32,17 +32,17 @@
 
 
 async def test_all_vms_hear_of_a_request_through_heads(large):
-    large.vms["bilbao-3"].loads.began("i-1", KEY)
+    large.vms["bilbao-3"].loads.on_request_started("i-1", KEY)
     await large.settle(TOLD_S + 0.1)
     assert running(large) == {1}
-    large.vms["bilbao-3"].loads.ended("i-1", KEY)
+    large.vms["bilbao-3"].loads.on_request_ended("i-1", KEY)
     await large.settle(TOLD_S + 0.1)
     assert running(large) == {0}
 
 
 async def test_requests_of_all_data_centres_are_added_up(large):
     for name in ("gijon-0", "gijon-5", "bilbao-4", "santander-8"):
-        large.vms[name].loads.began("i-1", KEY)
+        large.vms[name].loads.on_request_started("i-1", KEY)
     await large.settle(TOLD_S + 0.1)
     assert running(large) == {4}
 
@@ -54,14 +54,14 @@
     in it yet; nor may those that are be counted twice.
     """
     vm = large.vms["bilbao-3"]
-    large.vms["gijon-4"].loads.began("i-1", KEY)
-    vm.loads.began("i-1", KEY)
+    large.vms["gijon-4"].loads.on_request_started("i-1", KEY)
+    vm.loads.on_request_started("i-1", KEY)
     await large.settle(2 * TOLD_S)
     assert vm.loads.running("i-1") == 2
-    vm.loads.began("i-1", KEY)
+    vm.loads.on_request_started("i-1", KEY)
     assert vm.loads.running("i-1") == 3
-    vm.loads.ended("i-1", KEY)
-    vm.loads.ended("i-1", KEY)
+    vm.loads.on_request_ended("i-1", KEY)
+    vm.loads.on_request_ended("i-1", KEY)
     assert vm.loads.running("i-1") == 1
 
 
@@ -76,18 +76,18 @@
         owner.owned = ("i-1",)
     await large.settle(1.0)
     for name in ("gijon-1", "santander-2", "bilbao-7"):
-        large.vms[name].loads.began("i-1", KEY)
+        large.vms[name].loads.on_request_started("i-1", KEY)
     await large.settle(3 * TOLD_S)
     assert {owner.started["i-1", "a1"] for owner in owners} == {3}
     assert {owner.loads.adapters_running("i-1")[KEY] for owner in owners} == {3}
-    large.vms["gijon-1"].loads.ended("i-1", KEY)
+    large.vms["gijon-1"].loads.on_request_ended("i-1", KEY)
     await large.settle(TOLD_S + 0.1)
     assert {owner.loads.adapters_running("i-1")[KEY] for owner in owners} == {2}
 
 
 async def test_only_owners_hear_which_adapters_are_used(large):
     await large.settle(1.0)
-    large.vms["gijon-7"].loads.began("i-1", KEY)
+    large.vms["gijon-7"].loads.on_request_started("i-1", KEY)
     await large.settle(2 * TOLD_S)
     others_of_gijon = [vm for name, vm in others(large).items() if name != "gijon-7"]
     assert all(not vm.loads.adapters_running("i-1") for vm in others_of_gijon)
@@ -111,13 +111,13 @@
     head = next(name for name in large.heads() if name.startswith("bilbao"))
     large.kill(head)
     name = next(name for name in others(large) if name.startswith("bilbao"))
-    large.vms[name].loads.began("i-1", KEY)
+    large.vms[name].loads.on_request_started("i-1", KEY)
     await large.settle(TOLD_S + 0.8)
     assert running(large) == {1}
 
 
 async def test_requests_of_a_vm_that_is_gone_count_no_more(large):
-    large.vms["bilbao-8"].loads.began("i-1", KEY)
+    large.vms["bilbao-8"].loads.on_request_started("i-1", KEY)
     await large.settle(TOLD_S + 0.1)
     large.kill("bilbao-8")
     await large.settle(5.0)
@@ -127,7 +127,7 @@
 async def test_in_a_small_fleet_each_vm_tells_all_others():
     fleet = FakeFleet({"gijon": 5, "bilbao": 4})
     await fleet.settle(1.0)
-    fleet.vms["bilbao-3"].loads.began("i-1", KEY)
+    fleet.vms["bilbao-3"].loads.on_request_started("i-1", KEY)
     for vm in fleet.vms.values():
         vm.heard.clear()
         vm.words.tell()
--- a/hawthornlead/tests/test_placers.py
+++ b/hawthornlead/tests/test_placers.py
@@ -87,7 +87,7 @@
     def running(self, target):
         return 0
 
-    def suspect(self, target):
+    def is_suspect(self, target):
         return False
 
     def cost_ms(self, target):
@@ -97,13 +97,13 @@
 class Unlimited:
     """Targets that name no limit, and ask for no rest."""
 
-    def limited(self, target):
+    def is_limited(self, target):
         return False
 
     def wait_s(self, target):
         return 0.0
 
-    def take(self, target):
+    def acquire(self, target):
         return True
 
 
@@ -133,17 +133,17 @@
         self.waits = waits
         self.taken = []
 
-    def limited(self, target):
+    def is_limited(self, target):
         return target in self.waits
 
     def wait_s(self, target):
         return self.waits.get(target, 0.0)
 
-    def take(self, target):
+    def acquire(self, target):
         self.taken.append(target)
         return not self.wait_s(target)
 
-    def give_back(self, target):
+    def refund(self, target):
         self.taken.remove(target)
 
 
--- a/hawthornlead/tests/test_run_times.py
+++ b/hawthornlead/tests/test_run_times.py
@@ -116,7 +116,7 @@
         end_at = began_at + self._run_s
         heapq.heappush(self._free_at[target], end_at)
         heapq.heappush(self._ends, (end_at, target))
-        self.times.note(PLAIN, end_at - now, running, SLOTS)
+        self.times.record(PLAIN, end_at - now, running, SLOTS)
         return end_at - now
 
 
@@ -162,7 +162,7 @@
     assert times.run_ms(PLAIN) == PLAIN_START_MS
     assert times.run_ms(ENGINES) > 1000
     for _ in range(200):
-        times.note(PLAIN, 0.02, 1, SLOTS)
-        times.note(ENGINES, 1.2, 16, 8)
+        times.record(PLAIN, 0.02, 1, SLOTS)
+        times.record(ENGINES, 1.2, 16, 8)
     assert times.run_ms(PLAIN) == pytest.approx(20, rel=0.05)
     assert times.run_ms(ENGINES) == pytest.approx(600, rel=0.05)
--- a/hawthornlead/tests/test_target_searches.py
+++ b/hawthornlead/tests/test_target_searches.py
@@ -44,11 +44,11 @@
     estimates, timers = Estimates(), ManualTimerService()
     tries = tries_of(estimates, timers)
     assert tried(tries, 0.1) == "a"
-    tries.note_failed("a", FULL)
+    tries.record_failure("a", FULL)
     assert tried(tries, 0.1) == "b"
-    tries.note_failed("b", FULL)
+    tries.record_failure("b", FULL)
     assert tried(tries, 0.1) == "c"
-    tries.note_failed("c", FULL)
+    tries.record_failure("c", FULL)
     assert tries.best(0.1) is None
     assert tries.full_retry_s == 0.5
     assert tries.left
@@ -57,8 +57,8 @@
 
 def test_a_full_engine_is_waited_for_where_that_is_sooner_than_all_others():
     tries = tries_of(Estimates(), ManualTimerService())
-    tries.note_failed(tried(tries, 0.5), FULL)
-    tries.note_failed(tried(tries, 0.5), FULL)
+    tries.record_failure(tried(tries, 0.5), FULL)
+    tries.record_failure(tried(tries, 0.5), FULL)
     # 650 ms with its wait, where the last one takes 800 ms.
     assert tried(tries, 0.5) == "a"
     assert tries.is_full("a")
@@ -67,7 +67,7 @@
 async def test_an_estimate_that_grew_old_is_made_anew():
     estimates, timers = Estimates(), ManualTimerService()
     tries = tries_of(estimates, timers)
-    tries.note_failed(tried(tries, 0.1), FULL)
+    tries.record_failure(tried(tries, 0.1), FULL)
     await timers.advance(0.05)
     assert tried(tries, 0.1) == "b"
     assert estimates.asked == 2
@@ -78,13 +78,13 @@
     tries = tries_of(estimates, ManualTimerService())
     for target in ("a", "b", "c"):
         assert tried(tries, 0.1) == target
-        tries.note_failed(target, NO_LOAD)
+        tries.record_failure(target, NO_LOAD)
     assert tries.count == MAX_LOAD_TRIES + 1
     assert not tries.left
 
 
 def test_a_vm_that_orders_the_engine_no_more_costs_no_try():
     tries = tries_of(Estimates(), ManualTimerService())
-    tries.note_failed(tried(tries, 0.1), NO_OWNER)
+    tries.record_failure(tried(tries, 0.1), NO_OWNER)
     assert tried(tries, 0.1) == "b"
     assert tries.count == 1
