--- a/hawthornlead/gateway/caller_calls.py
+++ b/hawthornlead/gateway/caller_calls.py
@@ -2,7 +2,7 @@
 
 Tornado reads and writes HTTP. A request is handed on once it was read whole::
 
-    server = HTTPServer(CallerEntry(handle))
+    server = HTTPServer(CallerDispatcher(handle))
     async def handle(call): call.answer(200, "OK", headers, body)
 """
 
@@ -67,7 +67,7 @@
         """Take a piece of the request's body."""
         self._parts.append(chunk)
 
-    def note_gone(self) -> None:
+    def mark_gone(self) -> None:
         """Note that the caller has closed its connection."""
         if not self.gone.done():
             self.gone.set_result(None)
@@ -110,7 +110,7 @@
             stream.close()
 
 
-class CallerEntry(httputil.HTTPServerConnectionDelegate):
+class CallerDispatcher(httputil.HTTPServerConnectionDelegate):
     """Hands whole requests to a handler, a task for each."""
 
     def __init__(self, handler: Handler, now: Callable[[], float]):
@@ -156,7 +156,7 @@
 
 
 class _Reading(httputil.HTTPMessageDelegate):
-    def __init__(self, entry: CallerEntry, connection):
+    def __init__(self, entry: CallerDispatcher, connection):
         self._entry = entry
         self._connection = connection
         self._call: CallerCall | None = None
@@ -164,7 +164,7 @@
     def headers_received(self, start_line, headers):
         self._call = CallerCall(self._connection, start_line, headers)
         self._call.arrived_at = self._entry.arrived()
-        self._connection.set_close_callback(self._call.note_gone)
+        self._connection.set_close_callback(self._call.mark_gone)
 
     def data_received(self, chunk):
         self._call.take(chunk)
@@ -174,5 +174,5 @@
 
     def on_connection_close(self):
         if self._call is not None:
-            self._call.note_gone()
+            self._call.mark_gone()
             self._entry.ended()
--- a/hawthornlead/gateway/candidate_scorers.py
+++ b/hawthornlead/gateway/candidate_scorers.py
@@ -52,7 +52,7 @@
         loads: TargetLoads,
         healths: TargetHealths,
         limits: TargetLimits,
-        rests: TargetBackoffs,
+        backoffs: TargetBackoffs,
         timers: TimerService,
         run_times: RunTimes,
     ):
@@ -61,7 +61,7 @@
         self._loads = loads
         self._healths = healths
         self._limits = limits
-        self._rests = rests
+        self._backoffs = backoffs
         self._timers = timers
         self._run_times = run_times
         self._slot_waits: dict[str, _SlotWait] = {}
@@ -94,7 +94,7 @@
 
     def _wants_more(self, target: str) -> bool:
         """Whether this VM may send a request to a target now, as far as it says."""
-        return not self._rests.wait_s(target) and not self._limits.wait_s(target)
+        return not self._backoffs.wait_s(target) and not self._limits.wait_s(target)
 
     def mark_full(self, target: str, failure: Failure) -> None:
         """Note that a target's owner has no slot to spare, if that is what failed."""
--- a/hawthornlead/gateway/crash_watches.py
+++ b/hawthornlead/gateway/crash_watches.py
@@ -58,12 +58,12 @@
         """End what is under way."""
         self._tasks.cancel()
 
-    def broke(self, entry: TargetEntry, fingerprint: bytes) -> None:
+    def on_connection_broken(self, entry: TargetEntry, fingerprint: bytes) -> None:
         """Note that a request's connection broke without a whole answer."""
         self._broken[entry.incarnation].add(fingerprint)
         self._tasks.spawn_once(f"{entry.incarnation}", lambda: self._look(entry))
 
-    def restarted(self, former: TargetEntry) -> None:
+    def on_restarted(self, former: TargetEntry) -> None:
         """Note that a target has started again: its former incarnation died.
 
         A connection that broke there is then proof enough, also where the new start
--- a/hawthornlead/gateway/entry_servers.py
+++ b/hawthornlead/gateway/entry_servers.py
@@ -7,7 +7,7 @@
 from tornado.httpserver import HTTPServer
 from tornado.netutil import bind_sockets
 
-from .caller_calls import CallerCall, CallerEntry
+from .caller_calls import CallerCall, CallerDispatcher
 
 JSON = "application/json"
 
@@ -20,24 +20,24 @@
     content_type: str = JSON
 
 
-Question = Callable[[], Reply]
+Query = Callable[[], Reply]
 
 
-class QuestionServer:
+class QueryServer:
     """Answers a few fixed paths on one address.
 
     ::
 
-        server = QuestionServer("10.1.0.38:8141", {READY_PATH: ready}, now)
+        server = QueryServer("10.1.0.38:8141", {READY_PATH: ready}, now)
         server.start()
     """
 
     def __init__(
-        self, address: str, questions: dict[str, Question], now: Callable[[], float]
+        self, address: str, questions: dict[str, Query], now: Callable[[], float]
     ):
         self._address = address
         self._questions = questions
-        self._server = HTTPServer(CallerEntry(self._handle, now))
+        self._server = HTTPServer(CallerDispatcher(self._handle, now))
 
     def start(self) -> None:
         """Listen; raises ``OSError`` when the address is taken."""
--- a/hawthornlead/gateway/gateway_parts.py
+++ b/hawthornlead/gateway/gateway_parts.py
@@ -44,7 +44,7 @@
 
 # A VM that doesn't know how many there are takes so many for granted: too many, so that
 # all of them together stay below a quota.
-UNKNOWN_VMS = 400
+ASSUMED_VMS = 400
 
 
 class Coordination(NamedTuple):
@@ -83,10 +83,10 @@
         loads: TargetLoads,
         healths: TargetHealths,
         suspects: Suspects,
-        deaths: CrashWatch,
-        losses: LossDetector,
+        crash_watch: CrashWatch,
+        loss_detector: LossDetector,
         limits: TargetLimits,
-        rests: TargetBackoffs,
+        backoffs: TargetBackoffs,
         leaving_notices: LeavingNotices,
         run_times: RunTimes,
         quotas: QuotaLedger,
@@ -103,10 +103,10 @@
         self.loads = loads
         self.healths = healths
         self.suspects = suspects
-        self.deaths = deaths
-        self.losses = losses
+        self.crash_watch = crash_watch
+        self.loss_detector = loss_detector
         self.limits = limits
-        self.rests = rests
+        self.backoffs = backoffs
         self.leaving_notices = leaving_notices
         self.run_times = run_times
         self.quotas = quotas
@@ -125,7 +125,7 @@
             )
         return budget
 
-    def take(self, configuration: Configuration) -> None:
+    def apply_configuration(self, configuration: Configuration) -> None:
         """Put a configuration in force."""
         self.configuration = configuration
         self.routes = RouteTable(configuration.routes)
@@ -203,7 +203,7 @@
         now=timers.now,
         rng=rng,
         share=lambda: memberships.heard_share,
-        vms=lambda: roster.count or UNKNOWN_VMS,
+        vms=lambda: roster.count or ASSUMED_VMS,
     )
     return Coordination(client, mesh, memberships, lease, ownerships, relays, quotas)
 
@@ -242,14 +242,14 @@
     suspects = Suspects(
         settings=core.settings, timers=timers, events=core.events, mesh=mesh
     )
-    deaths = CrashWatch(
+    crash_watch = CrashWatch(
         suspects=suspects,
         connections=known.connections,
         mesh=mesh,
         timers=timers,
         events=core.events,
     )
-    losses = LossDetector(
+    loss_detector = LossDetector(
         targets=known.targets,
         probes=TargetProbes(
             connections=known.connections, timers=timers, metrics=metrics
@@ -265,7 +265,7 @@
         rng=core.rng,
         events=core.events,
         mesh=mesh,
-        vms=lambda: coordination.memberships.roster.count or UNKNOWN_VMS,
+        vms=lambda: coordination.memberships.roster.count or ASSUMED_VMS,
         incarnation=known.targets.incarnation,
     )
     metrics.watch(
@@ -273,7 +273,7 @@
         "Targets that name a limit of requests a second",
         lambda: len(limits.named),
     )
-    rests = TargetBackoffs(timers=timers, events=core.events)
+    backoffs = TargetBackoffs(timers=timers, events=core.events)
     run_times = RunTimes()
     placer = Placer(
         data_centre=core.settings["DATA_CENTRE"],
@@ -281,7 +281,7 @@
         loads=known.loads,
         healths=known.healths,
         limits=limits,
-        rests=rests,
+        backoffs=backoffs,
         mesh=mesh,
         timers=timers,
         metrics=metrics,
@@ -295,13 +295,13 @@
         known.loads.on_restarted(former.target)
         placer.forget(former.target)
         limits.discard(former.target)
-        rests.discard(former.target)
-        deaths.restarted(former)
+        backoffs.discard(former.target)
+        crash_watch.on_restarted(former)
 
     known.targets.subscribe_restarts(drop_former)
     known.targets.subscribe(lambda lost, _: placer.forget(lost.target))
     known.targets.subscribe(lambda lost, _: limits.discard(lost.target))
-    known.targets.subscribe(lambda lost, _: rests.discard(lost.target))
+    known.targets.subscribe(lambda lost, _: backoffs.discard(lost.target))
     return GatewayParts(
         core=core,
         metrics=metrics,
@@ -311,10 +311,10 @@
         loads=known.loads,
         healths=known.healths,
         suspects=suspects,
-        deaths=deaths,
-        losses=losses,
+        crash_watch=crash_watch,
+        loss_detector=loss_detector,
         limits=limits,
-        rests=rests,
+        backoffs=backoffs,
         leaving_notices=LeavingNotices(targets=known.targets, mesh=mesh),
         run_times=run_times,
         quotas=coordination.quotas,
--- a/hawthornlead/gateway/gateways.py
+++ b/hawthornlead/gateway/gateways.py
@@ -29,9 +29,9 @@
     VERSIONS_KIND,
 )
 from ..settings import Settings, read_settings
-from .caller_calls import CallerCall, CallerEntry
+from .caller_calls import CallerCall, CallerDispatcher
 from .drains import Drain
-from .entry_servers import QuestionServer, Reply
+from .entry_servers import QueryServer, Reply
 from .fleet_views import FleetView
 from .gateway_metrics import GatewayMetrics
 from .gateway_parts import build_coordination, build_requests, build_targets
@@ -85,7 +85,7 @@
         self._connections = targets.connections
         self._room = targets.room
         self._parts = build_requests(core, coordination, targets, metrics)
-        self._callers = CallerEntry(self._serve, core.timers.now)
+        self._callers = CallerDispatcher(self._serve, core.timers.now)
         self._watch_beliefs(metrics, targets.loads)
         self._drain = Drain(
             timers=core.timers,
@@ -156,8 +156,8 @@
         self._room.close()
         self._lease.stop()
         self._memberships.stop()
-        self._parts.deaths.stop()
-        self._parts.losses.stop()
+        self._parts.crash_watch.stop()
+        self._parts.loss_detector.stop()
         self._timers.stop()
         self._connections.close()
         self._client.close()
@@ -189,7 +189,7 @@
             return
         await forward.run()
 
-    def _make_questions(self) -> list[QuestionServer]:
+    def _make_questions(self) -> list[QueryServer]:
         now = self._timers.now
         questions = {}
         ready = self._settings["READY_ADDRESS"]
@@ -203,7 +203,7 @@
         ):
             if address:
                 questions.setdefault(address, {})[path] = question
-        return [QuestionServer(at, asked, now) for at, asked in questions.items()]
+        return [QueryServer(at, asked, now) for at, asked in questions.items()]
 
     def _ready(self) -> Reply:
         return Reply(200 if self._memberships.serving else 503, b"{}")
@@ -315,7 +315,7 @@
             revision=record.revision,
             way=self._relays.way(CONFIGURATION_KIND),
         )
-        self._parts.take(configuration)
+        self._parts.apply_configuration(configuration)
         self._room.take(configuration)
         self._sweep()
 
--- a/hawthornlead/gateway/loss_detectors.py
+++ b/hawthornlead/gateway/loss_detectors.py
@@ -3,10 +3,10 @@
 A request in a target that died may never hear of it: nobody closes its connection.
 So each attempt follows the incarnation that it was sent to::
 
-    follower = losses.follow(entry, spec, may_repeat=True)
+    follower = losses.subscribe(entry, spec, may_repeat=True)
     exchange.send(..., sink=follower.listen(sink))
     await asyncio.wait([exchange.ended, follower.lost], ...)
-    losses.unfollow(follower)
+    losses.unsubscribe(follower)
 
 What proof is enough for which request is told in ``target_liveness``.
 """
@@ -28,7 +28,7 @@
     LossSubscriber,
     TargetLiveness,
 )
-from .target_probes import LAG_S, Found, TargetProbes
+from .target_probes import LAG_S, ProbeResult, TargetProbes
 from .target_tables import TargetTable
 
 # A target that showed that it is there is asked again after this, if silent yet.
@@ -38,7 +38,7 @@
 # When a caller may come back whose request was lost with its target: others serve.
 RETRY_S = 0.2
 
-STRONG = {Found.RESTARTED: Loss.RESTARTED, Found.REFUSED: Loss.REFUSED}
+STRONG = {ProbeResult.RESTARTED: Loss.RESTARTED, ProbeResult.REFUSED: Loss.REFUSED}
 
 
 class LossDetector:
@@ -61,7 +61,7 @@
         self._connections = connections
         self._healths = healths
         self._timers = timers
-        self._beliefs: dict[Incarnation, TargetLiveness] = {}
+        self._livenesses: dict[Incarnation, TargetLiveness] = {}
         self._at_address: dict[str, Incarnation] = {}
         self._tasks = TaskSet()
         targets.subscribe(self._on_lost)
@@ -70,48 +70,48 @@
         """End what is under way."""
         self._tasks.cancel()
 
-    async def sound(self, entry: TargetEntry) -> bool:
+    async def check_healthy(self, entry: TargetEntry) -> bool:
         """Whether a request may be sent: its target isn't silent, or answers now.
 
         A request that goes into a kept connection of a target in the dark may have
         run for all that is known, and can't go elsewhere; one that waits for the
         answer to a probe that all share has surely not left.
         """
-        belief = self._beliefs.get(entry.incarnation)
-        if belief is not None and belief.doubtful:
-            if belief.proof and self._timers.now() - belief.found_at < AGAIN_S:
+        liveness = self._livenesses.get(entry.incarnation)
+        if liveness is not None and liveness.is_suspect:
+            if liveness.proof and self._timers.now() - liveness.probed_at < AGAIN_S:
                 return False
-            found = await self._ask(belief)
-            if found not in (Found.ALIVE, Found.UNKNOWN):
+            found = await self._ask(liveness)
+            if found not in (ProbeResult.ALIVE, ProbeResult.UNKNOWN):
                 return False
         self._note_address(entry)
         return True
 
-    def follow(
+    def subscribe(
         self, entry: TargetEntry, spec: ServiceSpec, may_repeat: bool
     ) -> LossSubscriber:
         """Follow a target that is sent a request now."""
         now = self._timers.now
-        belief = self._beliefs.get(entry.incarnation)
-        if belief is None:
-            belief = TargetLiveness(entry, spec, now)
-            self._beliefs[entry.incarnation] = belief
-        if not belief.followers:
-            belief.waits_since = now()
-        follower = LossSubscriber(belief, may_repeat)
-        belief.followers.add(follower)
+        liveness = self._livenesses.get(entry.incarnation)
+        if liveness is None:
+            liveness = TargetLiveness(entry, spec, now)
+            self._livenesses[entry.incarnation] = liveness
+        if not liveness.subscribers:
+            liveness.waiting_since = now()
+        subscriber = LossSubscriber(liveness, may_repeat)
+        liveness.subscribers.add(subscriber)
         name = f"{entry.target} {entry.started_ms}"
-        self._tasks.spawn_once(name, lambda: self._watch(belief))
-        return follower
+        self._tasks.spawn_once(name, lambda: self._watch(liveness))
+        return subscriber
 
-    def unfollow(self, follower: LossSubscriber) -> None:
+    def unsubscribe(self, subscriber: LossSubscriber) -> None:
         """Follow no more: the attempt has ended."""
-        belief = follower.belief
-        belief.followers.discard(follower)
-        if belief.spoke_since_missed:
-            self._take_alive(belief)
-        if not belief.followers and belief.entry_gone:
-            self._drop(belief)
+        liveness = subscriber.liveness
+        liveness.subscribers.discard(subscriber)
+        if liveness.seen_since_missed:
+            self._take_alive(liveness)
+        if not liveness.subscribers and liveness.entry_gone:
+            self._drop(liveness)
 
     def failure(self, loss: Loss | None) -> Failure:
         """Return the final answer to a request that its target, lost or not, failed."""
@@ -122,122 +122,126 @@
 
     # Asking
 
-    async def _watch(self, belief: TargetLiveness) -> None:
+    async def _watch(self, liveness: TargetLiveness) -> None:
         """Ask a target that stays silent, for as long as requests wait there."""
-        while belief.followers and belief.strong is None:
+        while liveness.subscribers and liveness.strong is None:
             now = self._timers.now()
-            wait_s = max(belief.quiet_since + PROBE_AFTER_S, belief.ask_at) - now
+            wait_s = (
+                max(liveness.silent_since + PROBE_AFTER_S, liveness.next_probe_at) - now
+            )
             if wait_s <= 0:
-                await self._ask(belief)
+                await self._ask(liveness)
                 continue
             await self._timers.sleep(wait_s)
             if self._timers.now() - now > wait_s + LAG_S:
                 # This VM itself stood still, or nearly: what was sent to it meanwhile
                 # is yet to be read. Without this, a VM that thaws takes all its
                 # targets for silent.
-                belief.waits_since = self._timers.now()
+                liveness.waiting_since = self._timers.now()
 
-    async def _ask(self, belief: TargetLiveness) -> Found:
+    async def _ask(self, liveness: TargetLiveness) -> ProbeResult:
         """Ask once, or take part in the asking under way."""
-        if belief.asking is None or belief.asking.done():
-            belief.asking = self._tasks.spawn(self._probe(belief))
-        return await asyncio.shield(belief.asking)
+        if liveness.probe_task is None or liveness.probe_task.done():
+            liveness.probe_task = self._tasks.spawn(self._probe(liveness))
+        return await asyncio.shield(liveness.probe_task)
 
-    async def _probe(self, belief: TargetLiveness) -> Found:
-        if belief.strong is Loss.RESTARTED:
-            return Found.RESTARTED
+    async def _probe(self, liveness: TargetLiveness) -> ProbeResult:
+        if liveness.strong is Loss.RESTARTED:
+            return ProbeResult.RESTARTED
         asked_at = self._timers.now()
-        entry, spec = belief.entry, belief.spec
-        found = await self._probes.ask(entry, spec)
-        if found is Found.ALIVE and belief.proof and entry.started_ms is None:
+        entry, spec = liveness.entry, liveness.spec
+        found = await self._probes.probe(entry, spec)
+        if found is ProbeResult.ALIVE and liveness.proof and entry.started_ms is None:
             found = await self._probes.identify(entry, spec)
-        if belief.heard_at > asked_at:
+        if liveness.last_seen_at > asked_at:
             # Some of its requests are being answered: it is busy, or refuses further
             # connections.
-            found = Found.ALIVE
-        self._take(belief, found, asked_at)
+            found = ProbeResult.ALIVE
+        self._take(liveness, found, asked_at)
         return found
 
     # What is believed
 
-    def _take(self, belief: TargetLiveness, found: Found, asked_at: float) -> None:
-        now = belief.found_at = self._timers.now()
-        belief.ask_at = now + AGAIN_S
-        if found is Found.ALIVE:
-            self._take_alive(belief)
+    def _take(
+        self, liveness: TargetLiveness, found: ProbeResult, asked_at: float
+    ) -> None:
+        now = liveness.probed_at = self._timers.now()
+        liveness.next_probe_at = now + AGAIN_S
+        if found is ProbeResult.ALIVE:
+            self._take_alive(liveness)
             return
-        if found is Found.UNKNOWN:
+        if found is ProbeResult.UNKNOWN:
             return
-        self._healths.record_failure(belief.entry.target, gone=True)
-        if found is not Found.NOTHING:
-            belief.missed = max(belief.missed, UNANSWERED)
-            self._prove(belief, STRONG[found])
+        self._healths.record_failure(liveness.entry.target, gone=True)
+        if found is not ProbeResult.NOTHING:
+            liveness.missed = max(liveness.missed, UNANSWERED)
+            self._prove(liveness, STRONG[found])
             return
-        belief.miss(asked_at)
-        if belief.missed < LONG_UNANSWERED:
-            belief.ask_at = now
-        belief.path_whole = self._hears_others(belief)
-        ends = any(follower.would_end for follower in belief.followers)
-        if belief.missed == UNANSWERED or ends:
-            self._lose(belief, Loss.UNANSWERED)
+        liveness.on_missed_probe(asked_at)
+        if liveness.missed < LONG_UNANSWERED:
+            liveness.next_probe_at = now
+        liveness.path_whole = self._hears_others(liveness)
+        ends = any(subscriber.would_end for subscriber in liveness.subscribers)
+        if liveness.missed == UNANSWERED or ends:
+            self._lose(liveness, Loss.UNANSWERED)
 
-    def _take_alive(self, belief: TargetLiveness) -> None:
-        wrong = belief.proof
+    def _take_alive(self, liveness: TargetLiveness) -> None:
+        wrong = liveness.proof
         if wrong is not None:
             # It counts as suspect for its silence only, which is over.
-            self._healths.record_answer(belief.entry.target, 0.0)
+            self._healths.record_answer(liveness.entry.target, 0.0)
             self._metrics.wrong_losses.labels(wrong.value).inc()
             self._events.emit(
                 EventKind.TARGET_NOT_LOST,
-                belief.entry.target,
+                liveness.entry.target,
                 proof=wrong.value,
-                missed=belief.missed,
+                missed=liveness.missed,
             )
-        belief.answered(self._timers.now() + ALIVE_FOR_S)
+        liveness.on_answer(self._timers.now() + ALIVE_FOR_S)
 
-    def _hears_others(self, belief: TargetLiveness) -> bool:
+    def _hears_others(self, liveness: TargetLiveness) -> bool:
         """Whether another target was heard since this one began to leave probes."""
-        for other in self._beliefs.values():
-            if other is not belief and other.heard_at > belief.missed_at:
+        for other in self._livenesses.values():
+            if other is not liveness and other.last_seen_at > liveness.missed_at:
                 return True
         return False
 
     def _on_lost(self, incarnation: Incarnation, loss: Loss) -> None:
-        belief = self._beliefs.get(incarnation)
-        if belief is None:
+        liveness = self._livenesses.get(incarnation)
+        if liveness is None:
             return
-        belief.entry_gone = True
-        if not belief.followers:
-            self._drop(belief)
+        liveness.entry_gone = True
+        if not liveness.subscribers:
+            self._drop(liveness)
             return
         if loss is not Loss.ENTRY_GONE:
-            self._prove(belief, loss)
+            self._prove(liveness, loss)
             return
         # Some engines leave without a word and serve on, so this alone ends nothing.
-        self._lose(belief, loss)
-        self._tasks.spawn(self._ask(belief))
+        self._lose(liveness, loss)
+        self._tasks.spawn(self._ask(liveness))
 
-    def _prove(self, belief: TargetLiveness, loss: Loss) -> None:
+    def _prove(self, liveness: TargetLiveness, loss: Loss) -> None:
         """Take a strong proof."""
-        if belief.strong is None:
-            belief.strong = loss
-            self._lose(belief, loss)
+        if liveness.strong is None:
+            liveness.strong = loss
+            self._lose(liveness, loss)
 
-    def _lose(self, belief: TargetLiveness, loss: Loss) -> None:
+    def _lose(self, liveness: TargetLiveness, loss: Loss) -> None:
         """Tell of a proof, and end the requests for which it is enough."""
-        entry = belief.entry
+        entry = liveness.entry
         self._metrics.losses.labels(loss.value).inc()
         if loss is not Loss.ENTRY_GONE:
             self._connections.forget(entry.address)
-        followers = tuple(belief.followers)
-        ended = sum(follower.settle() for follower in followers)
+        followers = tuple(liveness.subscribers)
+        ended = sum(subscriber.settle() for subscriber in followers)
         self._events.emit(
             EventKind.TARGET_LOST,
             entry.target,
             started_ms=entry.started_ms,
             proof=loss.value,
-            missed=belief.missed,
-            silent_ms=round(1000 * belief.silent_s),
+            missed=liveness.missed,
+            silent_ms=round(1000 * liveness.silent_s),
             ended=ended,
             waiting=len(followers) - ended,
         )
@@ -255,5 +259,5 @@
         if known is not None:
             self._connections.forget(entry.address)
 
-    def _drop(self, belief: TargetLiveness) -> None:
-        self._beliefs.pop(belief.entry.incarnation, None)
+    def _drop(self, liveness: TargetLiveness) -> None:
+        self._livenesses.pop(liveness.entry.incarnation, None)
--- a/hawthornlead/gateway/placers.py
+++ b/hawthornlead/gateway/placers.py
@@ -25,7 +25,7 @@
     ServiceSpec,
     TargetEntry,
 )
-from .refusals import overload, unwanted
+from .refusals import backoff_failure, overload_failure
 from .run_times import RunTimes
 from .target_backoffs import TargetBackoffs
 from .target_choices import Candidate, Holding
@@ -100,7 +100,7 @@
         loads: TargetLoads,
         healths: TargetHealths,
         limits: TargetLimits,
-        rests: TargetBackoffs,
+        backoffs: TargetBackoffs,
         mesh: FleetMesh,
         timers: TimerService,
         metrics: GatewayMetrics,
@@ -111,7 +111,7 @@
         self._targets = targets
         self._loads = loads
         self._limits = limits
-        self._rests = rests
+        self._backoffs = backoffs
         self._mesh = mesh
         self._configuration: Configuration | None = None
         self._survey = CandidateScorer(
@@ -120,7 +120,7 @@
             loads=loads,
             healths=healths,
             limits=limits,
-            rests=rests,
+            backoffs=backoffs,
             timers=timers,
             run_times=run_times,
         )
@@ -151,7 +151,7 @@
             best = tries.best(slack_s)
             if best is None:
                 return Err(failure._replace(retry_after_s=tries.full_retry_s))
-            refusal = overload(
+            refusal = overload_failure(
                 best, wanted.route, wanted.deadline_at - self._timers.now()
             )
             if refusal is not None:
@@ -192,7 +192,7 @@
         """
         target = placed.entry.target
         if not self._limits.acquire(target):
-            return Err(unwanted(self._limits.wait_s(target)))
+            return Err(backoff_failure(self._limits.wait_s(target)))
         ready = await self._prepare(wanted, spec, placed, place_until, slot_wait_s)
         if ready.is_err() and placed.counted:
             self._limits.refund(target)
@@ -264,10 +264,10 @@
         waits = []
         for entry in self._targets.of_service(spec.name):
             target = entry.target
-            rest_s = self._rests.wait_s(target)
+            rest_s = self._backoffs.wait_s(target)
             if rest_s or self._limits.is_limited(target):
                 waits.append(max(rest_s, self._limits.wait_s(target)))
-        return unwanted(min(waits)) if waits else None
+        return backoff_failure(min(waits)) if waits else None
 
     async def _await_turn(
         self, wanted: Wanted, placed: Placed
--- a/hawthornlead/gateway/refusals.py
+++ b/hawthornlead/gateway/refusals.py
@@ -17,7 +17,7 @@
 MOST_RETRY_S = 2.0
 
 
-def overload(best: Scored, route: Route, left_s: float) -> Failure | None:
+def overload_failure(best: Scored, route: Route, left_s: float) -> Failure | None:
     """Return why a request isn't begun at its best target, None if it is.
 
     ``left_s`` is what is left of its deadline. A target that was failing may be well
@@ -34,7 +34,7 @@
     return Failure(ErrorKind.OVERLOADED, "all targets are busy", retry_s)
 
 
-def unwanted(wait_s: float) -> Failure:
+def backoff_failure(wait_s: float) -> Failure:
     """Return why a request isn't sent to targets that want none from this VM now.
 
     The other VMs have shares of a limit too, and may not have been asked for rest, so
--- a/hawthornlead/gateway/request_forwards.py
+++ b/hawthornlead/gateway/request_forwards.py
@@ -18,7 +18,7 @@
 from .request_reporters import RequestReporter
 from .routes import choose_service
 from .stream_relays import CallerStream
-from .target_attempts import LEAST_LEFT_S, AttemptOutcome, Attempts
+from .target_attempts import MIN_REMAINING_S, AttemptOutcome, Attempts
 from .workspaces import ranked
 
 # A request is offered to so many targets at most that refuse it unrun.
@@ -47,7 +47,7 @@
         self._call = call
         self._request: CallerRequest = read_caller_request(call.headers)
         self._stream = CallerStream(call)
-        self._report = RequestReporter(parts, call, self._request, self._stream)
+        self._reporter = RequestReporter(parts, call, self._request, self._stream)
         self._deadline_at = 0.0
         self._excluded: set[str] = set()
         self._attempts: Attempts | None = None
@@ -64,7 +64,7 @@
         """Serve the request to its end."""
         parts = self._parts
         if parts.routes is None:
-            self._report.refuse(
+            self._reporter.refuse(
                 Failure(ErrorKind.NOT_READY, "no configuration yet", 0.3)
             )
             return
@@ -79,7 +79,7 @@
         workspace = found.ok_value
         charged = self._charge(workspace)
         if charged.is_err():
-            self._report.refuse(charged.err_value)
+            self._reporter.refuse(charged.err_value)
             return
         try:
             await self._serve_for(workspace, ranked(route, workspace))
@@ -98,7 +98,7 @@
             self._call,
             self._request,
             self._stream,
-            self._report,
+            self._reporter,
             self._deadline_at,
             self._fingerprint(),
             workspace,
@@ -129,7 +129,7 @@
 
     def refuse(self, failure: Failure) -> None:
         """Answer with a failure, unless an answer was begun or the caller left."""
-        self._report.refuse(failure)
+        self._reporter.refuse(failure)
 
     def _refuse_unknown(self, failure: Failure) -> None:
         """Refuse what the configuration in force doesn't know.
@@ -140,13 +140,13 @@
         if not self._parts.configuration_is_current():
             detail = f"{failure.detail}, by a configuration that may be old"
             failure = Failure(ErrorKind.NOT_READY, detail, STALE_RETRY_S)
-        self._report.refuse(failure)
+        self._reporter.refuse(failure)
 
     async def _serve(self, route: Route, service: str) -> None:
         convicted = self._parts.suspects.check(self._fingerprint())
         if convicted.is_err():
             failure = convicted.err_value
-            self._report.refuse(failure._replace(kind=ErrorKind.OVERLOADED))
+            self._reporter.refuse(failure._replace(kind=ErrorKind.OVERLOADED))
             return
         while True:
             wanted = Wanted(
@@ -161,7 +161,7 @@
             if placed.is_err():
                 self._end_unplaced(placed.err_value)
                 return
-            self._report.placed(placed.ok_value)
+            self._reporter.placed(placed.ok_value)
             try:
                 ending = await self._attempt(route, service, placed.ok_value)
             finally:
@@ -177,7 +177,7 @@
         """Send the request to its target; None if it isn't sent to any after all."""
         if self._call.left:
             return None
-        if self._report.sent and not self._parts.budget(service).take():
+        if self._reporter.sent and not self._parts.budget(service).take():
             self._end_unplaced(
                 Failure(ErrorKind.OVERLOADED, "the retry budget is spent", 0.5)
             )
@@ -193,9 +193,9 @@
         if ending is AttemptOutcome.DONE:
             return False
         if ending is AttemptOutcome.LEFT:
-            self._report.caller_gone(target)
+            self._reporter.caller_gone(target)
             return False
-        self._report.attempt_failed(
+        self._reporter.attempt_failed(
             target, ending.value, self._attempts.left_s, self._attempts.loss
         )
         if ending is AttemptOutcome.TOO_EARLY and not self._waited:
@@ -213,17 +213,17 @@
                 return True
             self._end_unplaced(Failure(ErrorKind.OVERLOADED, "no target took it", 0.4))
             return False
-        self._report.ran += 1
+        self._reporter.ran += 1
         may_repeat = route.repeatable or (
             route.resumable and (not self._stream.begun or self._resumes())
         )
-        if may_repeat and self._report.ran < route.attempts and self._in_time():
+        if may_repeat and self._reporter.ran < route.attempts and self._in_time():
             return True
         self._end_failed()
         return False
 
     def _in_time(self) -> bool:
-        return self._attempts.left_s > LEAST_LEFT_S
+        return self._attempts.left_s > MIN_REMAINING_S
 
     def _resumes(self) -> bool:
         self._attempts.last_event = self._stream.last_event
@@ -233,32 +233,32 @@
 
     def _end_unplaced(self, failure: Failure) -> None:
         """Answer a request that goes to no further target."""
-        if self._report.ran:
+        if self._reporter.ran:
             self._end_failed()
             return
         if failure.answer.status not in UNRUN_STATUSES:
             # What failed is a question to another VM or to an engine about a load.
             # The request itself was not sent, and its caller may send it again.
             failure = failure._replace(kind=ErrorKind.NO_TARGET)
-        self._report.refuse(failure)
+        self._reporter.refuse(failure)
 
     def _end_failed(self) -> None:
         """Answer a request that has run, or may have, without a whole answer."""
         if self._stream.begun:
             lost = self._attempts.loss is not None
-            self._report.cut("the target is lost" if lost else "the target failed")
+            self._reporter.cut("the target is lost" if lost else "the target failed")
             return
         if self._attempts.failed_answer is not None:
-            self._report.answer(self._attempts.failed_answer)
+            self._reporter.answer(self._attempts.failed_answer)
             return
-        self._report.refuse(self._parts.losses.failure(self._attempts.loss))
+        self._reporter.refuse(self._parts.loss_detector.failure(self._attempts.loss))
 
     def _end_late(self) -> None:
         """Answer a request whose deadline has passed while a target had it."""
         if self._stream.begun:
-            self._report.cut("the deadline passed")
+            self._reporter.cut("the deadline passed")
             return
-        self._report.refuse(Failure(ErrorKind.DEADLINE_PASSED, "the deadline passed"))
+        self._reporter.refuse(Failure(ErrorKind.DEADLINE_PASSED, "the deadline passed"))
 
     # Small queries
 
--- a/hawthornlead/gateway/run_times.py
+++ b/hawthornlead/gateway/run_times.py
@@ -12,8 +12,8 @@
 
 # Until requests of a service have ended, those of model engines count as long, and
 # those of plain services as short.
-ENGINE_START_MS = 1800.0
-PLAIN_START_MS = 100.0
+INITIAL_ENGINE_RUN_MS = 1800.0
+INITIAL_PLAIN_RUN_MS = 100.0
 # How much one request counts against all before it: some tens of requests decide.
 NEW_WEIGHT = 0.03
 
@@ -35,5 +35,7 @@
 
     def run_ms(self, service: ServiceSpec) -> float:
         """Return how long a request of a service runs, in milliseconds."""
-        start_ms = PLAIN_START_MS if service.engine is None else ENGINE_START_MS
+        start_ms = (
+            INITIAL_PLAIN_RUN_MS if service.engine is None else INITIAL_ENGINE_RUN_MS
+        )
         return self._means_ms.get(service.name, start_ms)
--- a/hawthornlead/gateway/stream_relays.py
+++ b/hawthornlead/gateway/stream_relays.py
@@ -76,12 +76,12 @@
         """What came after the last whole event, or all of an answer that is none."""
         return bytes(self._rest)
 
-    def take_head(self, head: Head) -> None:
+    def handle_head(self, head: Head) -> None:
         """Take the beginning of the target's answer."""
         self.head = head
         self.active_at = self._now()
 
-    def take_data(self, chunk: bytes) -> None:
+    def handle_data(self, chunk: bytes) -> None:
         """Send on what has become whole."""
         now = self._now()
         if self.first_at is not None:
--- a/hawthornlead/gateway/target_attempts.py
+++ b/hawthornlead/gateway/target_attempts.py
@@ -13,10 +13,10 @@
 from .target_choices import Holding
 from .target_connections import AnswerSink, Exchange, Head, WholeAnswer
 from .target_liveness import LossSubscriber
-from .target_probes import ANOTHER_ID
+from .target_probes import MISDIRECTED_STATUS
 
 # What is left of a deadline must allow this much, else nothing is begun.
-LEAST_LEFT_S = 0.02
+MIN_REMAINING_S = 0.02
 # A target that says nothing for this long while others answer is slow, or dark.
 SILENT_S = 1.2
 
@@ -49,7 +49,7 @@
         call: CallerCall,
         request: CallerRequest,
         stream: CallerStream,
-        report: RequestReporter,
+        reporter: RequestReporter,
         deadline_at: float,
         fingerprint: bytes,
         workspace: Workspace | None = None,
@@ -59,7 +59,7 @@
         self._call = call
         self._request = request
         self._stream = stream
-        self._report = report
+        self._reporter = reporter
         self._deadline_at = deadline_at
         self._fingerprint = fingerprint
         # The target's places, and its requests when the attempt began.
@@ -76,10 +76,10 @@
     async def make(self, route: Route, placed: Placed) -> AttemptOutcome:
         """Send the request to a target and pass its answer on."""
         entry = placed.entry
-        losses = self._parts.losses
+        loss_detector = self._parts.loss_detector
         self.loss = None
         spec = self._parts.configuration.service(entry.service)
-        if spec is None or not await losses.sound(entry):
+        if spec is None or not await loss_detector.check_healthy(entry):
             return AttemptOutcome.UNREACHED
         if not self._may_send(placed):
             return AttemptOutcome.UNWANTED
@@ -98,14 +98,16 @@
         slots = spec.engine.batch if spec.engine else entry.slots
         self._slots = slots
         self._running = self._parts.loads.running(entry.target)
-        self._report.sent += 1
-        follower = losses.follow(entry, spec, route.repeatable or route.resumable)
+        self._reporter.sent += 1
+        subscriber = loss_detector.subscribe(
+            entry, spec, route.repeatable or route.resumable
+        )
         try:
             if route.kind is RouteKind.STREAMING:
-                return await self._stream_from(route, placed, exchange, follower)
-            return await self._fetch_from(route, entry, exchange, follower)
+                return await self._stream_from(route, placed, exchange, subscriber)
+            return await self._fetch_from(route, entry, exchange, subscriber)
         finally:
-            losses.unfollow(follower)
+            loss_detector.unsubscribe(subscriber)
             self._parts.loads.on_request_ended(entry.target, placed.key)
 
     def _may_send(self, placed: Placed) -> bool:
@@ -114,7 +116,7 @@
         It may have asked for rest, or named a limit, after the request was placed.
         """
         target = placed.entry.target
-        if self._parts.rests.wait_s(target):
+        if self._parts.backoffs.wait_s(target):
             return False
         return placed.counted or self._parts.limits.acquire(target)
 
@@ -123,7 +125,7 @@
         route: Route,
         entry: TargetEntry,
         exchange: Exchange,
-        follower: LossSubscriber,
+        subscriber: LossSubscriber,
         sink: AnswerSink,
     ) -> None:
         sent_at = self._parts.timers.now()
@@ -142,7 +144,7 @@
             headers,
             self._call.body,
             request_id=self._request.request_id,
-            sink=follower.listen(
+            sink=subscriber.listen(
                 sink, lambda head: self._note_head(entry, head, sent_at)
             ),
         )
@@ -152,12 +154,12 @@
         route: Route,
         entry: TargetEntry,
         exchange: Exchange,
-        follower: LossSubscriber,
+        subscriber: LossSubscriber,
     ) -> AttemptOutcome:
         answer = WholeAnswer()
         sent_at = self._parts.timers.now()
-        self._send(route, entry, exchange, follower, answer)
-        waiting = {exchange.ended, self._call.gone, follower.lost}
+        self._send(route, entry, exchange, subscriber, answer)
+        waiting = {exchange.ended, self._call.gone, subscriber.lost}
         await asyncio.wait(
             waiting, timeout=self.left_s, return_when=asyncio.FIRST_COMPLETED
         )
@@ -165,8 +167,8 @@
             exchange.close()
             if self._call.left:
                 return AttemptOutcome.LEFT
-            if follower.lost.done():
-                self.loss = follower.lost.result()
+            if subscriber.lost.done():
+                self.loss = subscriber.lost.result()
                 return AttemptOutcome.LOST
             self._blame(entry)
             return AttemptOutcome.LATE
@@ -186,22 +188,26 @@
         if not head.signs.sealed or head.status in (408, 421, 429, 503):
             # These statuses promise that nothing ran, which this target did not say.
             return AttemptOutcome.FAILED
-        again = route.repeatable and self._report.ran + 1 < route.attempts
-        if head.status >= 500 and again and self.left_s > LEAST_LEFT_S:
+        again = route.repeatable and self._reporter.ran + 1 < route.attempts
+        if head.status >= 500 and again and self.left_s > MIN_REMAINING_S:
             self.failed_answer = answer
             return AttemptOutcome.FAILED
-        self._report.answer(answer)
-        self._report.served(entry, head.status, None)
+        self._reporter.answer(answer)
+        self._reporter.served(entry, head.status, None)
         return AttemptOutcome.DONE
 
     async def _stream_from(
-        self, route: Route, placed: Placed, exchange: Exchange, follower: LossSubscriber
+        self,
+        route: Route,
+        placed: Placed,
+        exchange: Exchange,
+        subscriber: LossSubscriber,
     ) -> AttemptOutcome:
         entry = placed.entry
         relay = StreamRelay(self._stream, self._parts.timers.now)
         sent_at = self._parts.timers.now()
-        self._send(route, entry, exchange, follower, relay)
-        waiting = {exchange.ended, self._call.gone, follower.lost}
+        self._send(route, entry, exchange, subscriber, relay)
+        waiting = {exchange.ended, self._call.gone, subscriber.lost}
         silent = False
         while not any(each.done() for each in waiting):
             left_s = self.left_s
@@ -218,14 +224,14 @@
         if relay.first_at is not None:
             wait_ms = (relay.first_at - sent_at) * 1000
             self._parts.healths.record_answer(entry.target, wait_ms)
-        return self._end_stream(placed, exchange, relay, follower, sent_at)
+        return self._end_stream(placed, exchange, relay, subscriber, sent_at)
 
     def _end_stream(
         self,
         placed: Placed,
         exchange: Exchange,
         relay: StreamRelay,
-        follower: LossSubscriber,
+        subscriber: LossSubscriber,
         sent_at: float,
     ) -> AttemptOutcome:
         entry = placed.entry
@@ -234,8 +240,8 @@
             exchange.close()
             if self._call.left:
                 return AttemptOutcome.LEFT
-            if follower.lost.done():
-                self.loss = follower.lost.result()
+            if subscriber.lost.done():
+                self.loss = subscriber.lost.result()
                 return AttemptOutcome.BROKEN if relay.accepted else AttemptOutcome.LOST
             return AttemptOutcome.LATE
         if relay.head is None:
@@ -255,7 +261,7 @@
             self._stream.send(relay.head, b"")
         self._call.finish()
         self._note_run(entry, sent_at)
-        self._report.served(entry, relay.head.status, relay)
+        self._reporter.served(entry, relay.head.status, relay)
         return AttemptOutcome.DONE
 
     def _end_refused_stream(
@@ -272,12 +278,12 @@
         if self._stream.begun or not head.signs.sealed:
             return AttemptOutcome.FAILED
         answer = WholeAnswer()
-        answer.take_head(head)
-        answer.take_data(relay.rest)
+        answer.handle_head(head)
+        answer.handle_data(relay.rest)
         if head.status in (408, 421, 429, 503):
             return AttemptOutcome.FAILED
-        self._report.answer(answer)
-        self._report.served(entry, head.status, None)
+        self._reporter.answer(answer)
+        self._reporter.served(entry, head.status, None)
         return AttemptOutcome.DONE
 
     # What is learned of the target
@@ -287,10 +293,12 @@
 
         One that doesn't answer under the id it was asked for is another target.
         """
-        if head.status == ANOTHER_ID or not self._parts.targets.is_current(entry):
+        if head.status == MISDIRECTED_STATUS or not self._parts.targets.is_current(
+            entry
+        ):
             return
         if head.signs.rest_s:
-            self._parts.rests.record(entry.target, head.signs.rest_s)
+            self._parts.backoffs.record(entry.target, head.signs.rest_s)
         if head.signs.leaving:
             self._parts.leaving_notices.note(entry.incarnation)
         limit_per_s = head.signs.limit_per_s
@@ -307,13 +315,13 @@
 
     def _note_lost(self, entry: TargetEntry, exchange: Exchange) -> AttemptOutcome:
         self._blame(entry)
-        self._parts.deaths.broke(entry, self._fingerprint)
+        self._parts.crash_watch.on_connection_broken(entry, self._fingerprint)
         return AttemptOutcome.LOST
 
     def _note_refused(
         self, entry: TargetEntry, status: int, placed: Placed | None
     ) -> AttemptOutcome:
-        if self._parts.rests.wait_s(entry.target):
+        if self._parts.backoffs.wait_s(entry.target):
             # It sheds load, which says nothing of its health or of the adapter.
             return AttemptOutcome.REFUSED
         key = placed.key if placed is not None else None
@@ -323,7 +331,7 @@
         if not self._parts.targets.is_current(entry):
             return AttemptOutcome.REFUSED
         self._parts.placer.note_missing(entry.target, key)
-        if status == ANOTHER_ID and placed.candidate.holding is Holding.READY:
+        if status == MISDIRECTED_STATUS and placed.candidate.holding is Holding.READY:
             # One that was loaded for this request is said to be there by foresight and
             # may be late. Given up, it would be fetched again at the next engine, and
             # the more is fetched the later each fetch is.
--- a/hawthornlead/gateway/target_backoffs.py
+++ b/hawthornlead/gateway/target_backoffs.py
@@ -9,8 +9,8 @@
 
     ::
 
-        rests.record("i-7f3a", rest_s=3.0)
-        rests.wait_s("i-7f3a")
+        backoffs.record("i-7f3a", rest_s=3.0)
+        backoffs.wait_s("i-7f3a")
     """
 
     def __init__(self, *, timers: TimerService, events: EventRing):
--- a/hawthornlead/gateway/target_choices.py
+++ b/hawthornlead/gateway/target_choices.py
@@ -13,7 +13,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from .run_times import ENGINE_START_MS
+from .run_times import INITIAL_ENGINE_RUN_MS
 
 
 class Holding(Enum):
@@ -31,7 +31,7 @@
 HELD = frozenset({Holding.READY, Holding.ARRIVING, Holding.OLD_VERSION, Holding.RECENT})
 # So many homes of an adapter are compared at most: the least loaded of 16 is nearly
 # that of all.
-MOST_HOMES = 16
+MAX_COMPARED_HOMES = 16
 # What has to be ordered onto a target takes a slot there.
 LOADED_ANEW = frozenset({Holding.OLD_VERSION, Holding.RECENT, Holding.ABSENT})
 
@@ -61,7 +61,7 @@
     prompts_ms: float = 0.0
     arriving: int = 0
     slot_wait_ms: float = 0.0
-    run_ms: float = ENGINE_START_MS
+    run_ms: float = INITIAL_ENGINE_RUN_MS
     batch_ms: float = FULL_BATCH_MS
 
 
@@ -122,7 +122,7 @@
         if holding in HELD and target not in excluded
     }
     others = [home for home in homes if home not in listed and home not in excluded]
-    return listed | set(others[:MOST_HOMES])
+    return listed | set(others[:MAX_COMPARED_HOMES])
 
 
 def order_candidates(candidates: list[Candidate], demand: Demand) -> list[Scored]:
--- a/hawthornlead/gateway/target_connections.py
+++ b/hawthornlead/gateway/target_connections.py
@@ -50,10 +50,10 @@
 class AnswerSink(Protocol):
     """Takes an answer as it comes."""
 
-    def take_head(self, head: Head) -> None:
+    def handle_head(self, head: Head) -> None:
         """Take the beginning."""
 
-    def take_data(self, chunk: bytes) -> None:
+    def handle_data(self, chunk: bytes) -> None:
         """Take the next piece of the body."""
 
 
@@ -69,11 +69,11 @@
         """What came of the body so far."""
         return b"".join(self._parts)
 
-    def take_head(self, head: Head) -> None:
+    def handle_head(self, head: Head) -> None:
         """Keep the beginning."""
         self.head = head
 
-    def take_data(self, chunk: bytes) -> None:
+    def handle_data(self, chunk: bytes) -> None:
         """Keep the next piece."""
         self._parts.append(chunk)
 
@@ -103,11 +103,11 @@
         framed = "Content-Length" in headers or "Transfer-Encoding" in headers
         code = start_line.code
         self.head = Head(code, start_line.reason, headers, signs, framed)
-        self._sink.take_head(self.head)
+        self._sink.handle_head(self.head)
 
     def data_received(self, chunk):
         if not self.stray:
-            self._sink.take_data(chunk)
+            self._sink.handle_data(chunk)
 
     def finish(self):
         self.finished = not self.stray
--- a/hawthornlead/gateway/target_liveness.py
+++ b/hawthornlead/gateway/target_liveness.py
@@ -27,7 +27,7 @@
 class TargetLiveness:
     """What this VM has seen of one incarnation that it sends requests to.
 
-    ``ask_at`` is when it may be asked next and ``found_at`` when it was last;
+    ``next_probe_at`` is when it may be asked next and ``probed_at`` when it was last;
     ``missed`` counts the probes in a row that went unanswered, ``path_whole`` tells
     whether other targets were heard since the first of them.
     """
@@ -36,16 +36,16 @@
         self._now = now
         self.entry = entry
         self.spec = spec
-        self.followers: set[LossSubscriber] = set()
-        self.waits_since = self.heard_at = now()
-        self.ask_at = 0.0
-        self.found_at = 0.0
+        self.subscribers: set[LossSubscriber] = set()
+        self.waiting_since = self.last_seen_at = now()
+        self.next_probe_at = 0.0
+        self.probed_at = 0.0
         self.missed = 0
         self.missed_at = 0.0
         self.path_whole = False
         self.strong: Loss | None = None
         self.entry_gone = False
-        self.asking: asyncio.Task | None = None
+        self.probe_task: asyncio.Task | None = None
 
     @property
     def unanswered(self) -> bool:
@@ -53,21 +53,21 @@
         return self.missed >= UNANSWERED
 
     @property
-    def quiet_since(self) -> float:
+    def silent_since(self) -> float:
         """Since when requests have waited without a byte from the target."""
-        return max(self.heard_at, self.waits_since)
+        return max(self.last_seen_at, self.waiting_since)
 
     @property
     def silent_s(self) -> float:
         """For how long requests have waited without a byte, 0 if none waits."""
-        return self._now() - self.quiet_since if self.followers else 0.0
+        return self._now() - self.silent_since if self.subscribers else 0.0
 
     @property
-    def doubtful(self) -> bool:
+    def is_suspect(self) -> bool:
         """Whether nothing may be sent before the target showed that it is there."""
         if self.missed or self.strong:
             return True
-        return self.silent_s > PROBE_AFTER_S and self._now() > self.ask_at
+        return self.silent_s > PROBE_AFTER_S and self._now() > self.next_probe_at
 
     @property
     def proof(self) -> Loss | None:
@@ -75,27 +75,27 @@
         return self.strong or (Loss.UNANSWERED if self.unanswered else None)
 
     @property
-    def spoke_since_missed(self) -> bool:
+    def seen_since_missed(self) -> bool:
         """Whether the target sent something after it counted as unanswering."""
-        return self.proof is Loss.UNANSWERED and self.heard_at > self.missed_at
+        return self.proof is Loss.UNANSWERED and self.last_seen_at > self.missed_at
 
-    def hear(self) -> None:
+    def on_activity(self) -> None:
         """Note that the target sent something."""
-        self.heard_at = self._now()
+        self.last_seen_at = self._now()
 
-    def miss(self, asked_at: float) -> None:
+    def on_missed_probe(self, asked_at: float) -> None:
         """Note a probe that went unanswered."""
         if not self.missed:
             self.missed_at = asked_at
         self.missed += 1
 
-    def answered(self, ask_at: float) -> None:
-        """Note that the target showed that it is there; ask again at ``ask_at``."""
+    def on_answer(self, ask_at: float) -> None:
+        """Note that the target showed that it is there; probe again at ``ask_at``."""
         self.missed = 0
         self.strong = None
-        self.ask_at = ask_at
+        self.next_probe_at = ask_at
 
-    def enough(self, may_repeat: bool) -> Loss | None:
+    def proof_for(self, may_repeat: bool) -> Loss | None:
         """Return the proof that ends a request there, None if there is none."""
         if self.strong is not None:
             return self.strong
@@ -108,15 +108,15 @@
 class LossSubscriber:
     """One attempt at a target; ``lost`` is done when its target counts as lost."""
 
-    def __init__(self, belief: TargetLiveness, may_repeat: bool):
-        self._belief = belief
+    def __init__(self, liveness: TargetLiveness, may_repeat: bool):
+        self._liveness = liveness
         self._may_repeat = may_repeat
         self.lost: asyncio.Future[Loss] = asyncio.get_running_loop().create_future()
 
     @property
-    def belief(self) -> TargetLiveness:
+    def liveness(self) -> TargetLiveness:
         """What is believed of its target."""
-        return self._belief
+        return self._liveness
 
     @property
     def would_end(self) -> bool:
@@ -130,7 +130,7 @@
 
         ``on_head`` is called with the beginning of the answer.
         """
-        return ActivitySink(sink, self._belief, on_head)
+        return ActivitySink(sink, self._liveness, on_head)
 
     def settle(self) -> bool:
         """End if what is believed is proof enough; return whether it ended now."""
@@ -140,26 +140,29 @@
         return True
 
     def _proof(self) -> Loss | None:
-        return self._belief.enough(self._may_repeat)
+        return self._liveness.proof_for(self._may_repeat)
 
 
 class ActivitySink:
     """Passes an answer on, and notes that its target sent something."""
 
     def __init__(
-        self, sink: AnswerSink, belief: TargetLiveness, on_head: Callable[[Head], None]
+        self,
+        sink: AnswerSink,
+        liveness: TargetLiveness,
+        on_head: Callable[[Head], None],
     ):
         self._sink = sink
-        self._belief = belief
+        self._liveness = liveness
         self._on_head = on_head
 
-    def take_head(self, head: Head) -> None:
+    def handle_head(self, head: Head) -> None:
         """Pass the beginning on."""
-        self._belief.hear()
+        self._liveness.on_activity()
         self._on_head(head)
-        self._sink.take_head(head)
+        self._sink.handle_head(head)
 
-    def take_data(self, chunk: bytes) -> None:
+    def handle_data(self, chunk: bytes) -> None:
         """Pass a piece on."""
-        self._belief.hear()
-        self._sink.take_data(chunk)
+        self._liveness.on_activity()
+        self._sink.handle_data(chunk)
--- a/hawthornlead/gateway/target_loads.py
+++ b/hawthornlead/gateway/target_loads.py
@@ -12,7 +12,7 @@
 
 # A VM that told nothing for so long is frozen, cut off or gone; its requests are ended
 # or can't be known.
-TOLD_KEPT_S = 3.0
+UPDATE_TTL_S = 3.0
 
 
 class _Told(NamedTuple):
@@ -62,7 +62,7 @@
         self._outlived: Counter[tuple[str, AdapterKey | None]] = Counter()
         # In a large fleet, the requests of all VMs by target, as a head told them.
         self._totals: dict[str, _Total] = {}
-        self._totals_at = -TOLD_KEPT_S
+        self._totals_at = -UPDATE_TTL_S
         self._own_told: dict[str, int] = {}
 
     @property
@@ -115,7 +115,7 @@
     def running(self, target: str) -> int:
         """Return the requests on a target, of all VMs."""
         own = self._own.get(target, 0)
-        if self._timers.now() - self._totals_at < TOLD_KEPT_S:
+        if self._timers.now() - self._totals_at < UPDATE_TTL_S:
             return own + self._others_in_total(target)
         return own + sum([load.running for load in self._told_of(target)])
 
@@ -216,7 +216,7 @@
 
         One that hasn't heard of a restart yet still counts what runs there no more.
         """
-        told_after = self._timers.now() - TOLD_KEPT_S
+        told_after = self._timers.now() - UPDATE_TTL_S
         current_ms = self._incarnation(target).started_ms
         loads = []
         for told in self._told.get(target, {}).values():
--- a/hawthornlead/gateway/target_probes.py
+++ b/hawthornlead/gateway/target_probes.py
@@ -4,7 +4,7 @@
 does: a process that is gone refuses it, one that started again answers for another
 start, and behind a cut path, or in the dark, nothing comes back::
 
-    found = await probes.ask(entry)
+    found = await probes.probe(entry)
 """
 
 import asyncio
@@ -25,10 +25,10 @@
 # it tells nothing of the target.
 LAG_S = 0.1
 # A target that is not the one named answers so.
-ANOTHER_ID = 421
+MISDIRECTED_STATUS = 421
 
 
-class Found(Enum):
+class ProbeResult(Enum):
     """What one question has shown."""
 
     ALIVE = "alive"
@@ -52,21 +52,21 @@
         self._timers = timers
         self._metrics = metrics
 
-    async def ask(self, entry: TargetEntry, spec: ServiceSpec) -> Found:
+    async def probe(self, entry: TargetEntry, spec: ServiceSpec) -> ProbeResult:
         """Ask once; a target that isn't an engine only by a connection.
 
         A plain service has nothing to ask that needs no slot: that it takes a
         connection shows that some process listens there, and no more.
         """
         began_at = self._timers.now()
-        found = await self._ask(entry, spec)
+        found = await self._probe_fresh(entry, spec)
         took_s = self._timers.now() - began_at
-        if found is Found.NOTHING and took_s > 2 * PROBE_S + LAG_S:
-            found = Found.UNKNOWN
+        if found is ProbeResult.NOTHING and took_s > 2 * PROBE_S + LAG_S:
+            found = ProbeResult.UNKNOWN
         self._metrics.probes.labels(found.value).inc()
         return found
 
-    async def identify(self, entry: TargetEntry, spec: ServiceSpec) -> Found:
+    async def identify(self, entry: TargetEntry, spec: ServiceSpec) -> ProbeResult:
         """Ask a target that answers again whether it is still the one that it was.
 
         Reports go out under any id. The health answer, which may have to wait for a
@@ -74,26 +74,28 @@
         it is; a request may be sent to it, since another start refuses it unrun.
         """
         opened = await self._connections.open(entry.address, within_s=PROBE_S)
-        found = Found.UNKNOWN
+        found = ProbeResult.UNKNOWN
         if opened.is_ok():
             answer = await self._get(entry, opened.ok_value, spec.health_path)
             found = _read_id(entry, answer)
         self._metrics.probes.labels(found.value).inc()
         return found
 
-    async def _ask(self, entry: TargetEntry, spec: ServiceSpec) -> Found:
+    async def _probe_fresh(self, entry: TargetEntry, spec: ServiceSpec) -> ProbeResult:
         opened = await self._connections.open(entry.address, True, PROBE_S)
         if opened.is_err():
-            return Found.REFUSED if opened.err_value.refused else Found.NOTHING
+            return (
+                ProbeResult.REFUSED if opened.err_value.refused else ProbeResult.NOTHING
+            )
         exchange = opened.ok_value
         if spec.engine is None:
             exchange.close()
-            return Found.ALIVE
+            return ProbeResult.ALIVE
         answer = await self._get(entry, exchange, REPORT_PATH)
         if answer is None:
-            return Found.NOTHING
-        if answer.head.status == ANOTHER_ID:
-            return Found.RESTARTED
+            return ProbeResult.NOTHING
+        if answer.head.status == MISDIRECTED_STATUS:
+            return ProbeResult.RESTARTED
         return _read_start(entry, answer.body)
 
     async def _get(
@@ -112,21 +114,21 @@
         return answer
 
 
-def _read_id(entry: TargetEntry, answer: WholeAnswer | None) -> Found:
+def _read_id(entry: TargetEntry, answer: WholeAnswer | None) -> ProbeResult:
     if answer is None:
-        return Found.UNKNOWN
+        return ProbeResult.UNKNOWN
     said = answer.head.signs.target
-    if answer.head.status == ANOTHER_ID or said not in ("", entry.target):
-        return Found.RESTARTED
-    return Found.ALIVE if said else Found.UNKNOWN
+    if answer.head.status == MISDIRECTED_STATUS or said not in ("", entry.target):
+        return ProbeResult.RESTARTED
+    return ProbeResult.ALIVE if said else ProbeResult.UNKNOWN
 
 
-def _read_start(entry: TargetEntry, body: bytes) -> Found:
+def _read_start(entry: TargetEntry, body: bytes) -> ProbeResult:
     try:
         started_ms = read_report(decode(body)).started_ms
     except ValueError:
         # What can't be read was still sent by a process under the id that was named.
-        return Found.ALIVE
+        return ProbeResult.ALIVE
     if None in (started_ms, entry.started_ms) or started_ms <= entry.started_ms:
-        return Found.ALIVE
-    return Found.RESTARTED
+        return ProbeResult.ALIVE
+    return ProbeResult.RESTARTED
--- a/hawthornlead/gateway/target_searches.py
+++ b/hawthornlead/gateway/target_searches.py
@@ -22,7 +22,7 @@
 MAX_FULL_TRIES = 12
 # Who comes back as soon as one slot is to be free meets the same full engines; within
 # half a second, which is a run and more, others have ended.
-LEAST_FULL_RETRY_S = 0.5
+MIN_FULL_RETRY_S = 0.5
 # So a VM answers at once that doesn't order an engine, or not any more. Where few VMs
 # order all engines, such answers would use up a request's tries.
 OWNERLESS = frozenset({ErrorKind.NO_GRANT, ErrorKind.PEER_UNAVAILABLE})
@@ -68,7 +68,7 @@
     @property
     def full_retry_s(self) -> float:
         """When to come back where all targets are full."""
-        return max(LEAST_FULL_RETRY_S, min(self._full.values()))
+        return max(MIN_FULL_RETRY_S, min(self._full.values()))
 
     def is_full(self, target: str) -> bool:
         """Whether a target said that it has no slot to spare."""
--- a/hawthornlead/tests/standins/platform_engine.py
+++ b/hawthornlead/tests/standins/platform_engine.py
@@ -12,7 +12,7 @@
 from tornado.httpserver import HTTPServer
 from tornado.netutil import bind_sockets
 
-from hawthornlead.gateway.caller_calls import CallerCall, CallerEntry
+from hawthornlead.gateway.caller_calls import CallerCall, CallerDispatcher
 
 EVENTS = 4
 EVENT_S = 0.01
@@ -40,7 +40,7 @@
         self._model = model
         self._slots = slots
         self._open: set = set()
-        self._server = HTTPServer(CallerEntry(self._handle, lambda: 0.0))
+        self._server = HTTPServer(CallerDispatcher(self._handle, lambda: 0.0))
         self.target = target
         self.service = service
         self.address = ""
@@ -88,7 +88,7 @@
         self.adapters.clear()
         self.arriving.clear()
         self.order_count = 0
-        self._server = HTTPServer(CallerEntry(self._handle, lambda: 0.0))
+        self._server = HTTPServer(CallerDispatcher(self._handle, lambda: 0.0))
         self.start(port)
 
     def carry_out_kept(self) -> list[int]:
--- a/hawthornlead/tests/standins/platform_store.py
+++ b/hawthornlead/tests/standins/platform_store.py
@@ -18,7 +18,7 @@
 from tornado.httpserver import HTTPServer
 from tornado.netutil import bind_sockets
 
-from hawthornlead.gateway.caller_calls import CallerCall, CallerEntry
+from hawthornlead.gateway.caller_calls import CallerCall, CallerDispatcher
 
 
 class PlatformStore:
@@ -36,7 +36,7 @@
         self._revision = 1
         self._changed = asyncio.Event()
         self._oldest = 0
-        self._server = HTTPServer(CallerEntry(self._handle, lambda: 0.0))
+        self._server = HTTPServer(CallerDispatcher(self._handle, lambda: 0.0))
         self.address = ""
         self.fault = ""
         self.keeps_history = True
--- a/hawthornlead/tests/standins/restarting_engine.py
+++ b/hawthornlead/tests/standins/restarting_engine.py
@@ -18,7 +18,7 @@
 from tornado.httpserver import HTTPServer
 from tornado.netutil import bind_sockets
 
-from hawthornlead.gateway.caller_calls import CallerCall, CallerEntry
+from hawthornlead.gateway.caller_calls import CallerCall, CallerDispatcher
 
 from ..soak_gateway_records import Journal, OrderSeen
 from ..soak_links import Link
@@ -106,7 +106,7 @@
         self.state, self._listed, self._spoilt = "ready", True, None
         self.say_nothing()
         self._server = HTTPServer(
-            CallerEntry(lambda call: self._handle(call, own), lambda: 0.0)
+            CallerDispatcher(lambda call: self._handle(call, own), lambda: 0.0)
         )
         sockets = bind_sockets(0, "127.0.0.1")
         self._server.add_sockets(sockets)
--- a/hawthornlead/tests/test_gateway_decisions.py
+++ b/hawthornlead/tests/test_gateway_decisions.py
@@ -30,7 +30,7 @@
     ModelSpec,
 )
 from hawthornlead.gateway.target_healths import TargetHealths
-from hawthornlead.gateway.target_loads import TOLD_KEPT_S, TargetLoads
+from hawthornlead.gateway.target_loads import UPDATE_TTL_S, TargetLoads
 from hawthornlead.messages.gateways import AdapterUse, TargetLoad, VmLoads
 from hawthornlead.timers import ManualTimerService
 
@@ -236,7 +236,7 @@
     loads.on_request_started("e1", key("a1"))
     assert loads.running("e1") == 5
     assert loads.adapters_running("e1") == {key("a1"): 5}
-    timers._now += TOLD_KEPT_S + 1
+    timers._now += UPDATE_TTL_S + 1
     assert loads.running("e1") == 1
     loads.on_request_ended("e1", key("a1"))
     assert loads.own_total == 0
--- a/hawthornlead/tests/test_gateway_drains.py
+++ b/hawthornlead/tests/test_gateway_drains.py
@@ -5,7 +5,7 @@
 from hawthornlead.gateway.engine_slots import AdapterKey
 from hawthornlead.gateway.owner_objects import OWNERS_KIND
 from hawthornlead.gateway.slot_queues import SlotWanted
-from hawthornlead.gateway.target_loads import TOLD_KEPT_S
+from hawthornlead.gateway.target_loads import UPDATE_TTL_S
 
 from .gateways import MODEL, Deployment, ask
 
@@ -125,7 +125,7 @@
         draining = asyncio.create_task(leaving.drain())
         told = staying._room
         await deployment.until(lambda: told.running(target).get(key) == 1)
-        await asyncio.sleep(TOLD_KEPT_S + 0.5)
+        await asyncio.sleep(UPDATE_TTL_S + 0.5)
         assert not asking.done()
         assert told.running(target).get(key) == 1
         assert (await asking).status == 200
--- a/hawthornlead/tests/test_incarnations.py
+++ b/hawthornlead/tests/test_incarnations.py
@@ -288,7 +288,7 @@
 
     async def broke(self, entry, fingerprint):
         """Have a connection break, and let the watch look."""
-        self.watch.broke(entry, fingerprint)
+        self.watch.on_connection_broken(entry, fingerprint)
         await asyncio.sleep(0)
         await self._timers.advance(2 * GATHER_S)
 
@@ -323,7 +323,7 @@
     await deaths.broke(first, b"seen before the restart")
     assert not deaths.told
     site.enter(SECOND)
-    deaths.watch.restarted(first)
+    deaths.watch.on_restarted(first)
     assert deaths.told == [(f"e1@{FIRST}", [b"seen before the restart"])]
     await deaths.broke(first, b"seen after it")
     assert deaths.told[1:] == [(f"e1@{FIRST}", [b"seen after it"])]
@@ -336,5 +336,5 @@
     await deaths.broke(first, b"of another cause")
     assert deaths.watch._doubts
     await site.timers.advance(RESTART_SEEN_S)
-    deaths.watch.restarted(first)
+    deaths.watch.on_restarted(first)
     assert not deaths.told
--- a/hawthornlead/tests/test_loss_detectors.py
+++ b/hawthornlead/tests/test_loss_detectors.py
@@ -10,7 +10,7 @@
 from hawthornlead.gateway.loss_detectors import LossDetector
 from hawthornlead.gateway.records import Loss, ServiceSpec, TargetEntry
 from hawthornlead.gateway.target_healths import TargetHealths
-from hawthornlead.gateway.target_probes import Found
+from hawthornlead.gateway.target_probes import ProbeResult
 from hawthornlead.platform.objects import TARGETS_KIND
 from hawthornlead.timers import ManualTimerService
 
@@ -285,7 +285,7 @@
         self._found = list(found)
         self.asked = 0
 
-    async def ask(self, entry, spec):
+    async def probe(self, entry, spec):
         """Give the next answer; the last one stands."""
         self.asked += 1
         return self._found.pop(0) if len(self._found) > 1 else self._found[0]
@@ -309,7 +309,7 @@
 
     def follow(self, may_repeat, entry=ENTRY):
         """Follow a target with one request."""
-        return self.losses.follow(entry, SPEC, may_repeat)
+        return self.losses.subscribe(entry, SPEC, may_repeat)
 
 
 async def test_a_vm_that_thaws_does_not_take_its_targets_for_silent():
@@ -317,7 +317,7 @@
 
     No byte came while it stood still, and none was read yet when its timers went on.
     """
-    watched = Watched(Found.NOTHING)
+    watched = Watched(ProbeResult.NOTHING)
     follower = watched.follow(may_repeat=True)
     await asyncio.sleep(0)
     watched.timers._now += 3.0
@@ -329,7 +329,7 @@
 
 
 async def test_one_unanswered_probe_ends_nothing():
-    watched = Watched(Found.NOTHING, Found.ALIVE)
+    watched = Watched(ProbeResult.NOTHING, ProbeResult.ALIVE)
     follower = watched.follow(may_repeat=True)
     await asyncio.sleep(0)
     await watched.timers.advance(1.5)
@@ -338,19 +338,19 @@
 
 
 async def test_a_target_that_was_asked_in_vain_just_now_holds_no_request_up():
-    watched = Watched(Found.NOTHING)
+    watched = Watched(ProbeResult.NOTHING)
     watched.follow(may_repeat=True)
     await asyncio.sleep(0)
     await watched.timers.advance(1.0)
     asked = watched.probes.asked
-    assert not await watched.losses.sound(ENTRY)
+    assert not await watched.losses.check_healthy(ENTRY)
     assert watched.probes.asked == asked
 
 
 async def test_a_start_that_is_over_by_the_watch_ends_all_requests_there():
-    watched = Watched(Found.ALIVE)
+    watched = Watched(ProbeResult.ALIVE)
     follower = watched.follow(may_repeat=False)
     watched.losses._on_lost(ENTRY.incarnation, Loss.RESTARTED)
     assert follower.lost.result() is Loss.RESTARTED
-    watched.losses.unfollow(follower)
-    assert not watched.losses._beliefs
+    watched.losses.unsubscribe(follower)
+    assert not watched.losses._livenesses
--- a/hawthornlead/tests/test_placers.py
+++ b/hawthornlead/tests/test_placers.py
@@ -20,7 +20,7 @@
 )
 from hawthornlead.gateway.run_times import RunTimes
 from hawthornlead.gateway.target_choices import Holding
-from hawthornlead.gateway.target_searches import LEAST_FULL_RETRY_S, MAX_FULL_TRIES
+from hawthornlead.gateway.target_searches import MAX_FULL_TRIES, MIN_FULL_RETRY_S
 from hawthornlead.messages.gateways import AdapterLoaded, LoadAdapter, PromptReserved
 from hawthornlead.timers import ManualTimerService
 
@@ -159,7 +159,7 @@
             loads=Quiet(),
             healths=Quiet(),
             limits=limits or Unlimited(),
-            rests=Unlimited(),
+            backoffs=Unlimited(),
             mesh=self.mesh,
             timers=self.timers,
             metrics=GatewayMetrics(CollectorRegistry()),
@@ -201,7 +201,7 @@
 async def test_a_caller_is_not_called_back_to_the_same_full_engines():
     site = Site([0.6, 0.6])
     refused = (await site.place()).unwrap_err()
-    assert refused.retry_after_s >= LEAST_FULL_RETRY_S
+    assert refused.retry_after_s >= MIN_FULL_RETRY_S
 
 
 @pytest.mark.parametrize("count", [MAX_FULL_TRIES, 70])
--- a/hawthornlead/tests/test_run_times.py
+++ b/hawthornlead/tests/test_run_times.py
@@ -17,7 +17,7 @@
     ServiceSpec,
     TargetEntry,
 )
-from hawthornlead.gateway.run_times import PLAIN_START_MS, RunTimes
+from hawthornlead.gateway.run_times import INITIAL_PLAIN_RUN_MS, RunTimes
 from hawthornlead.gateway.target_choices import Holding
 from hawthornlead.timers import ManualTimerService
 
@@ -92,7 +92,7 @@
             loads=self._load,
             healths=Quiet(),
             limits=Unlimited(),
-            rests=Unlimited(),
+            backoffs=Unlimited(),
             mesh=None,
             timers=self.timers,
             metrics=GatewayMetrics(CollectorRegistry()),
@@ -159,7 +159,7 @@
 
 def test_run_times_start_by_the_kind_of_service_and_follow_what_is_seen():
     times = RunTimes()
-    assert times.run_ms(PLAIN) == PLAIN_START_MS
+    assert times.run_ms(PLAIN) == INITIAL_PLAIN_RUN_MS
     assert times.run_ms(ENGINES) > 1000
     for _ in range(200):
         times.record(PLAIN, 0.02, 1, SLOTS)
