--- a/hawthornlead/engines/grants.py
+++ b/hawthornlead/engines/grants.py
@@ -5,7 +5,7 @@
 
     granted = await grants.acquire("engine-3", assignment, wait_s=2.0)
     grant = granted.ok_value
-    if grant.begin(attempt_id).is_ok():
+    if grant.start(attempt_id).is_ok():
         ...                                     # send, relay the answer
         grant.finish(attempt_id, ended=True)    # the target is known to be done
 
@@ -56,8 +56,8 @@
 
     key: GrantKey
     load: bool
-    ahead: bool
-    room_s: float
+    prefetch: bool
+    slot_wait_s: float
 
 
 class _Held:
@@ -130,13 +130,13 @@
         """How long the owner loaded for this request, in seconds."""
         return self._loaded_s
 
-    def begin(self, attempt_id: str) -> Result[None, Failure]:
+    def start(self, attempt_id: str) -> Result[None, Failure]:
         """Start an attempt; call it right before the bytes are sent.
 
         Refused when the grant has run out: the process may have been frozen since
         it was acquired, and the adapter evicted meanwhile.
         """
-        return self._grants.begin(self, self._held, attempt_id)
+        return self._grants.start_attempt(self, self._held, attempt_id)
 
     def finish(self, attempt_id: str, *, ended: bool = False) -> None:
         """End an attempt.
@@ -145,7 +145,7 @@
         the end, refused, or was never reached. Else the grant is not given back but
         left to run out, so that the adapter stays until a report shows it idle.
         """
-        self._grants.finish(self, self._held, attempt_id, ended)
+        self._grants.finish_attempt(self, self._held, attempt_id, ended)
 
 
 class Grants:
@@ -193,13 +193,13 @@
         wait_s: float,
         load: bool = True,
         priority: int = 0,
-        ahead: bool = False,
-        room_s: float = 3600.0,
+        prefetch: bool = False,
+        slot_wait_s: float = 3600.0,
     ) -> Result[Grant, Failure]:
         """Get a place under a grant, from those held or from the target's owner.
 
-        Requests that ask for the same at once share one asking. ``ahead`` and
-        ``room_s`` (seconds) are those of ``AcquireGrant``.
+        Requests that ask for the same at once share one asking. ``prefetch`` and
+        ``slot_wait_s`` (seconds) are those of ``AcquireGrant``.
         """
         key = GrantKey(target, AdapterVersion(assignment.adapter, assignment.version))
         until = self._timers.now() + wait_s
@@ -220,8 +220,8 @@
                 priority,
                 left,
                 load,
-                ahead,
-                room_s,
+                prefetch,
+                slot_wait_s,
             )
             asking = self._ask(key, ask)
             if not await wait_done(self._timers, asking, left):
@@ -231,8 +231,8 @@
                 return outcome
             loaded_s = max(loaded_s, outcome.ok_value.loaded_s)
 
-    def begin(self, grant: Grant, held: _Held, attempt_id: str) -> Result:
-        """See ``Grant.begin``."""
+    def start_attempt(self, grant: Grant, held: _Held, attempt_id: str) -> Result:
+        """See ``Grant.start``."""
         held.reserved.discard(grant)
         now = self._timers.now()
         # GRA-2: read right before the send. GRA-10: one that was given back is over,
@@ -249,7 +249,9 @@
         )
         return Ok(None)
 
-    def finish(self, grant: Grant, held: _Held, attempt_id: str, ended: bool) -> None:
+    def finish_attempt(
+        self, grant: Grant, held: _Held, attempt_id: str, ended: bool
+    ) -> None:
         """See ``Grant.finish``."""
         held.reserved.discard(grant)
         if attempt_id in held.running:
@@ -320,7 +322,7 @@
     def _ask(self, key: GrantKey, ask: AcquireGrant) -> asyncio.Task:
         # Only askings that are answered alike are shared: a request must not get
         # the refusal of one that looked further sooner, or of a load ahead.
-        kind = _AskingKey(key, ask.load, ask.ahead, ask.room_s)
+        kind = _AskingKey(key, ask.load, ask.prefetch, ask.slot_wait_s)
         asking = self._asking.get(kind)
         if asking is not None and not asking.done():
             return asking
--- a/hawthornlead/engines/spares.py
+++ b/hawthornlead/engines/hot_copies.py
@@ -20,7 +20,7 @@
 MOST_LOOKED_AT = 1024
 
 
-class SpareCopies:
+class HotCopies:
     """Asks for more copies of the adapters that requests come for."""
 
     def __init__(
@@ -57,5 +57,5 @@
     async def _load(self, target: str, assignment: Assignment) -> None:
         # The grant is dropped at once: unused, it is given back with the idle ones.
         await self._grants.acquire(
-            target, assignment, wait_s=WAIT_S, ahead=True, room_s=0.0
+            target, assignment, wait_s=WAIT_S, prefetch=True, slot_wait_s=0.0
         )
--- a/hawthornlead/gateway/engine_rooms.py
+++ b/hawthornlead/gateway/engine_managers.py
@@ -25,9 +25,8 @@
 from .engine_releases import EngineReleases
 from .engine_slots import AdapterKey
 from .gateway_metrics import GatewayMetrics
-from .holding_words import HoldingWords
-from .late_orders import LATE_ORDER_S, LateOrders
-from .load_words import LoadWords
+from .holding_announcements import HoldingAnnouncements
+from .load_announcements import LoadAnnouncements
 from .memberships import Memberships
 from .ownerships import Ownerships
 from .records import (
@@ -37,9 +36,10 @@
     RestartSeen,
     TargetEntry,
 )
-from .slot_queues import SlotWanted
+from .slot_queues import SlotRequest
 from .target_loads import TargetLoads
 from .target_tables import TargetTable
+from .unacknowledged_orders import LATE_ORDER_S, UnacknowledgedOrders
 
 CLAIM_EVERY_S = 0.25
 # A count of uses is forgotten after some half-lives of 10 s.
@@ -52,7 +52,7 @@
 CHANGES_S = 3.0
 
 
-class EngineRoom:
+class EngineManager:
     """Claims engines, orders those that are owned, and tells what they hold."""
 
     def __init__(
@@ -83,7 +83,7 @@
         self._orphaned_at: dict[str, float] = {}
         # Times of first fetches and of those that an engine held lately.
         self._arrivals = {False: ArrivalTimes(), True: ArrivalTimes()}
-        self._words = LoadWords(
+        self._words = LoadAnnouncements(
             memberships=memberships,
             loads=loads,
             mesh=mesh,
@@ -92,7 +92,7 @@
             owned=lambda: self.owned,
             quotas=quotas,
         )
-        self._holding_words = HoldingWords(
+        self._holding_words = HoldingAnnouncements(
             mesh=mesh,
             timers=timers,
             own=self._all_holdings,
@@ -261,7 +261,7 @@
     ) -> None:
         """Begin to order one incarnation of an engine."""
         target = entry.target
-        late = LateOrders(
+        late = UnacknowledgedOrders(
             timers=self._timers,
             since=self._targets.known_since(target),
             unanswered_until=unanswered_until,
@@ -341,7 +341,7 @@
             return failed(Failure(ErrorKind.NO_GRANT, detail, 0.2))
         key = AdapterKey(message.model, message.adapter)
         now = self._timers.now()
-        wanted = SlotWanted(
+        wanted = SlotRequest(
             key, message.rank, now + message.due_s, now + message.slot_wait_s
         )
         loaded: Result = await owner.load(wanted, message.version, message.wait_s)
--- a/hawthornlead/gateway/gateway_parts.py
+++ b/hawthornlead/gateway/gateway_parts.py
@@ -20,7 +20,7 @@
 from ..mesh.sparse_peers import SparsePeerMesh
 from .crash_watches import CrashWatch
 from .engine_calls import EngineCalls
-from .engine_rooms import EngineRoom
+from .engine_managers import EngineManager
 from .gateway_metrics import GatewayMetrics
 from .leaving_notices import LeavingNotices
 from .loss_detectors import LossDetector
@@ -66,7 +66,7 @@
     connections: TargetConnections
     loads: TargetLoads
     healths: TargetHealths
-    room: EngineRoom
+    room: EngineManager
 
 
 class GatewayParts:
@@ -136,7 +136,7 @@
             quota = workspace.quota
             if quota is not None:
                 limits[workspace.name] = Limit(quota.rate, quota.burst)
-        self.quotas.take(limits)
+        self.quotas.apply_limits(limits)
 
 
 def build_coordination(core: CoreParts, metrics: GatewayMetrics) -> Coordination:
@@ -216,7 +216,7 @@
     targets = TargetTable(memberships=memberships, timers=timers, events=core.events)
     connections = TargetConnections(timers=timers)
     loads = TargetLoads(timers=timers, incarnation=targets.incarnation)
-    room = EngineRoom(
+    room = EngineManager(
         memberships=memberships,
         ownerships=coordination.ownerships,
         targets=targets,
--- a/hawthornlead/tests/fakes_owned_engines.py
+++ b/hawthornlead/tests/fakes_owned_engines.py
@@ -11,13 +11,12 @@
     adapter_requests,
     engine_owners,
     engine_reports,
-    fetch_followers,
+    fetch_trackers,
 )
 from hawthornlead.gateway.arrival_times import ArrivalTimes
 from hawthornlead.gateway.engine_owners import EngineOwner
 from hawthornlead.gateway.engine_slots import AdapterKey
 from hawthornlead.gateway.gateway_metrics import GatewayMetrics
-from hawthornlead.gateway.late_orders import LateOrders
 from hawthornlead.gateway.owner_objects import UNOWNED
 from hawthornlead.gateway.ownerships import Ownership
 from hawthornlead.gateway.records import (
@@ -30,7 +29,8 @@
     OrderOutcome,
     TargetEntry,
 )
-from hawthornlead.gateway.slot_queues import SlotWanted
+from hawthornlead.gateway.slot_queues import SlotRequest
+from hawthornlead.gateway.unacknowledged_orders import UnacknowledgedOrders
 from hawthornlead.timers import TimerService
 
 SLOTS = 8
@@ -178,7 +178,7 @@
         self.timers = TimerService()
         self.told = []
         self.restarts = []
-        self.owner = self.own(LateOrders(timers=self.timers))
+        self.owner = self.own(UnacknowledgedOrders(timers=self.timers))
 
     def own(self, late):
         """Return an owner of the engine's current start."""
@@ -200,11 +200,11 @@
         )
 
     async def restart(self):
-        """Start the engine again and order its new start, as ``EngineRoom`` does."""
+        """Start the engine again and order its new start, as ``EngineManager`` does."""
         former = self.owner
         former.stop()
         self.engine.restart()
-        late = LateOrders(
+        late = UnacknowledgedOrders(
             timers=self.timers,
             since=self.timers.now(),
             unanswered_until=former.unanswered_until,
@@ -221,7 +221,7 @@
     async def load(self, name, version=0, wait_s=2.0):
         """Have the owner load an adapter."""
         now = self.timers.now()
-        wanted = SlotWanted(AdapterKey("tide", name), 0, now, now)
+        wanted = SlotRequest(AdapterKey("tide", name), 0, now, now)
         return await self.owner.load(wanted, version, wait_s)
 
     async def until(self, condition, wait_s=3.0):
@@ -238,6 +238,6 @@
     monkeypatch.setattr(engine_reports, "REPORT_LAG_S", 0.02)
     monkeypatch.setattr(engine_reports, "LOOK_S", 0.05)
     monkeypatch.setattr(adapter_requests, "FIRST_LOOK_S", 0.03)
-    monkeypatch.setattr(fetch_followers, "FIRST_LOOK_S", 0.03)
-    monkeypatch.setattr(fetch_followers, "LOOK_S", 0.01)
+    monkeypatch.setattr(fetch_trackers, "FIRST_LOOK_S", 0.03)
+    monkeypatch.setattr(fetch_trackers, "LOOK_S", 0.01)
     monkeypatch.setattr(engine_owners, "REPORT_RETRY_S", 0.02)
--- a/hawthornlead/tests/test_incarnations.py
+++ b/hawthornlead/tests/test_incarnations.py
@@ -292,7 +292,7 @@
         await asyncio.sleep(0)
         await self._timers.advance(2 * GATHER_S)
 
-    def died(self, target, boot_id, fingerprints):
+    def record_death(self, target, boot_id, fingerprints):
         self.told.append((boot_id, sorted(fingerprints)))
 
     def broadcast(self, message):
