--- a/hawthornlead/gateway/placers.py
+++ b/hawthornlead/gateway/placers.py
@@ -25,7 +25,7 @@
     ServiceSpec,
     TargetEntry,
 )
-from .refusals import overload, unwanted
+from .refusals import backoff_failure, overload_failure
 from .run_times import RunTimes
 from .target_backoffs import TargetBackoffs
 from .target_choices import Candidate, Holding
@@ -100,7 +100,7 @@
         loads: TargetLoads,
         healths: TargetHealths,
         limits: TargetLimits,
-        rests: TargetBackoffs,
+        backoffs: TargetBackoffs,
         mesh: FleetMesh,
         timers: TimerService,
         metrics: GatewayMetrics,
@@ -111,7 +111,7 @@
         self._targets = targets
         self._loads = loads
         self._limits = limits
-        self._rests = rests
+        self._backoffs = backoffs
         self._mesh = mesh
         self._configuration: Configuration | None = None
         self._survey = CandidateScorer(
@@ -120,7 +120,7 @@
             loads=loads,
             healths=healths,
             limits=limits,
-            rests=rests,
+            backoffs=backoffs,
             timers=timers,
             run_times=run_times,
         )
@@ -141,7 +141,7 @@
         reading = reading_share(wanted.route, request)
         tries = TargetSearch(
             excluded=wanted.excluded,
-            score=lambda excluded: self._survey.scored(spec, key, excluded, reading),
+            score=lambda excluded: self._survey.score(spec, key, excluded, reading),
             timers=self._timers,
         )
         while tries.left:
@@ -151,7 +151,7 @@
             best = tries.best(slack_s)
             if best is None:
                 return Err(failure._replace(retry_after_s=tries.full_retry_s))
-            refusal = overload(
+            refusal = overload_failure(
                 best, wanted.route, wanted.deadline_at - self._timers.now()
             )
             if refusal is not None:
@@ -159,14 +159,14 @@
             target = best.candidate.target
             entry = self._targets.entries.get(target)
             if entry is None:
-                tries.note_failed(target, _gone())
+                tries.record_failure(target, _gone())
                 continue
             placed = Placed(
                 entry,
                 key if spec.engine else None,
                 *best,
                 tries.count,
-                counted=self._limits.limited(target),
+                counted=self._limits.is_limited(target),
             )
             slot_wait_s = slack_s if tries.is_full(target) else 0.0
             ready = await self._prepare_within_limit(
@@ -175,7 +175,7 @@
             if ready.is_ok():
                 return Ok(placed._replace(turn_s=ready.ok_value))
             failure = ready.err_value
-            tries.note_failed(target, failure)
+            tries.record_failure(target, failure)
         return Err(failure)
 
     async def _prepare_within_limit(
@@ -191,11 +191,11 @@
         It counts from here on: while its adapter is loaded others are placed.
         """
         target = placed.entry.target
-        if not self._limits.take(target):
-            return Err(unwanted(self._limits.wait_s(target)))
+        if not self._limits.acquire(target):
+            return Err(backoff_failure(self._limits.wait_s(target)))
         ready = await self._prepare(wanted, spec, placed, place_until, slot_wait_s)
         if ready.is_err() and placed.counted:
-            self._limits.give_back(target)
+            self._limits.refund(target)
         return ready
 
     async def _prepare(
@@ -222,7 +222,7 @@
             if not self._targets.is_current(entry):
                 return Err(_gone())
             if loaded.is_err():
-                self._survey.note_full(entry.target, loaded.err_value)
+                self._survey.mark_full(entry.target, loaded.err_value)
                 return loaded
         if spec.engine is not None:
             turn = await self._await_turn(wanted, placed)
@@ -250,7 +250,7 @@
 
     def forget(self, target: str) -> None:
         """Drop what was noted of a target that is gone, or started again."""
-        self._survey.forget(target)
+        self._survey.discard(target)
 
     def note_missing(self, target: str, key: AdapterKey) -> None:
         """Tell a target's owner that it refused a request for want of an adapter."""
@@ -264,10 +264,10 @@
         waits = []
         for entry in self._targets.of_service(spec.name):
             target = entry.target
-            rest_s = self._rests.wait_s(target)
-            if rest_s or self._limits.limited(target):
+            rest_s = self._backoffs.wait_s(target)
+            if rest_s or self._limits.is_limited(target):
                 waits.append(max(rest_s, self._limits.wait_s(target)))
-        return unwanted(min(waits)) if waits else None
+        return backoff_failure(min(waits)) if waits else None
 
     async def _await_turn(
         self, wanted: Wanted, placed: Placed
@@ -281,7 +281,7 @@
         entry = placed.entry
         target = entry.target
         request = wanted.request
-        if not self._targets.orderable(target):
+        if not self._targets.is_orderable(target):
             return Ok(None)
         last = placed.tries >= MAX_LOAD_TRIES
         # One that was loaded for this request would be fetched again elsewhere, though
@@ -303,9 +303,9 @@
         if reply.is_err():
             return Ok(None)
         if not reply.ok_value.held:
-            self._targets.note_absent(target, placed.key)
+            self._targets.mark_absent(target, placed.key)
             return Err(Failure(ErrorKind.LOAD_FAILED, "the adapter has left", 0.2))
-        self._targets.note_turn(target, reply.ok_value.wait_s)
+        self._targets.record_turn(target, reply.ok_value.wait_s)
         if not reply.ok_value.reserved:
             return Err(Failure(ErrorKind.TOO_LATE_TO_START, "prompts wait there", 0.3))
         now = self._timers.now()
