--- a/hawthornlead/gateway/gateways.py
+++ b/hawthornlead/gateway/gateways.py
@@ -29,9 +29,9 @@
     VERSIONS_KIND,
 )
 from ..settings import Settings, read_settings
-from .caller_calls import CallerCall, CallerEntry
+from .caller_calls import CallerCall, CallerDispatcher
 from .drains import Drain
-from .entry_servers import QuestionServer, Reply
+from .entry_servers import QueryServer, Reply
 from .fleet_views import FleetView
 from .gateway_metrics import GatewayMetrics
 from .gateway_parts import build_coordination, build_requests, build_targets
@@ -39,7 +39,7 @@
 from .records import StoredRecord
 from .request_forwards import RequestForward
 from .target_loads import TargetLoads
-from .target_tables import essence_of_entry
+from .target_tables import effective_entry
 from .watchers import KindWatcher
 
 # What a VM that leaves needs to give its engines back: the end of an order and a call
@@ -85,7 +85,7 @@
         self._connections = targets.connections
         self._engine_manager = targets.engine_manager
         self._parts = build_requests(core, coordination, targets, metrics)
-        self._callers = CallerEntry(self._serve, core.timers.now)
+        self._callers = CallerDispatcher(self._serve, core.timers.now)
         self._watch_beliefs(metrics, targets.loads)
         self._drain = Drain(
             timers=core.timers,
@@ -156,8 +156,8 @@
         self._engine_manager.close()
         self._lease.stop()
         self._memberships.stop()
-        self._parts.deaths.stop()
-        self._parts.losses.stop()
+        self._parts.crash_watch.stop()
+        self._parts.loss_detector.stop()
         self._timers.stop()
         self._connections.close()
         self._client.close()
@@ -189,7 +189,7 @@
             return
         await forward.run()
 
-    def _make_questions(self) -> list[QuestionServer]:
+    def _make_questions(self) -> list[QueryServer]:
         now = self._timers.now
         questions = {}
         ready = self._settings["READY_ADDRESS"]
@@ -203,7 +203,7 @@
         ):
             if address:
                 questions.setdefault(address, {})[path] = question
-        return [QuestionServer(at, asked, now) for at, asked in questions.items()]
+        return [QueryServer(at, asked, now) for at, asked in questions.items()]
 
     def _ready(self) -> Reply:
         return Reply(200 if self._memberships.serving else 503, b"{}")
@@ -280,18 +280,18 @@
             TARGETS_KIND: KindWatcher(
                 TARGETS_KIND,
                 **common,
-                on_changed=targets.take_entry,
-                on_deleted=targets.drop_entry,
-                on_unreadable=targets.drop_unreadable,
-                essence=essence_of_entry,
+                on_changed=targets.apply_entry,
+                on_deleted=targets.remove_entry,
+                on_unreadable=targets.remove_unreadable,
+                essence=effective_entry,
                 pause_s=TARGETS_PAUSE_S,
                 fetched=True,
             ),
             VERSIONS_KIND: KindWatcher(
                 VERSIONS_KIND,
                 **common,
-                on_changed=targets.take_version,
-                on_deleted=targets.drop_version,
+                on_changed=targets.apply_version,
+                on_deleted=targets.keep_version,
                 fetched=True,
             ),
             VMS_KIND: KindWatcher(
@@ -319,8 +319,8 @@
             revision=record.revision,
             way=self._relays.way(CONFIGURATION_KIND),
         )
-        self._parts.take(configuration)
-        self._engine_manager.apply_configuration(configuration)
+        self._parts.apply_configuration(configuration)
+        self._engine_manager.take(configuration)
         self._sweep()
 
     def _keep_configuration(self, name: str) -> None:
@@ -329,7 +329,7 @@
     def _sweep(self) -> None:
         self._connections.sweep()
         self._targets.sweep()
-        self._parts.healths.keep(self._targets.entries)
+        self._parts.healths.retain(self._targets.entries)
         known = self._parts.configuration is not None
         self._memberships.note_serving(known and self._watchers[TARGETS_KIND].listed)
 
--- a/hawthornlead/gateway/target_searches.py
+++ b/hawthornlead/gateway/target_searches.py
@@ -4,7 +4,7 @@
 
     tries = TargetSearch(excluded=frozenset(), score=score, timers=timers)
     best = tries.best(slack_s=0.4)
-    tries.note_failed(best.candidate.target, failure)
+    tries.record_failure(best.candidate.target, failure)
 """
 
 import math
@@ -22,7 +22,7 @@
 MAX_FULL_TRIES = 12
 # Who comes back as soon as one slot is to be free meets the same full engines; within
 # half a second, which is a run and more, others have ended.
-LEAST_FULL_RETRY_S = 0.5
+MIN_FULL_RETRY_S = 0.5
 # So a VM answers at once that doesn't order an engine, or not any more. Where few VMs
 # order all engines, such answers would use up a request's tries.
 OWNERLESS = frozenset({ErrorKind.NO_GRANT, ErrorKind.PEER_UNAVAILABLE})
@@ -68,7 +68,7 @@
     @property
     def full_retry_s(self) -> float:
         """When to come back where all targets are full."""
-        return max(LEAST_FULL_RETRY_S, min(self._full.values()))
+        return max(MIN_FULL_RETRY_S, min(self._full.values()))
 
     def is_full(self, target: str) -> bool:
         """Whether a target said that it has no slot to spare."""
@@ -87,7 +87,7 @@
                 return each
         return None
 
-    def note_failed(self, target: str, failure: Failure) -> None:
+    def record_failure(self, target: str, failure: Failure) -> None:
         """Note why a target didn't take the request."""
         if failure.kind is ErrorKind.NO_SLOT and target not in self._full:
             self._full[target] = failure.retry_after_s
