--- a/hawthornlead/daemon/daemon_parts.py
+++ b/hawthornlead/daemon/daemon_parts.py
@@ -32,9 +32,9 @@
 from ..engines.allowances import Allowances
 from ..engines.exchanges import TargetConnections
 from ..engines.grants import Grants
+from ..engines.hot_copies import HotCopies
 from ..engines.owned_targets import Policies
-from ..engines.spares import SpareCopies
-from ..engines.suspect_places import SuspectPlaces
+from ..engines.suspect_reservations import SuspectReservations
 from ..engines.target_deaths import TargetDeaths
 from ..engines.target_owners import TargetOwners
 from ..engines.targets import TargetClients
@@ -255,7 +255,7 @@
         clients=targets.clients,
         sent=sent,
     )
-    spares = SpareCopies(
+    hot_copies = HotCopies(
         timers=timers,
         views=targets.views,
         grants=targets.grants,
@@ -269,11 +269,13 @@
         routing=Routing(
             targets.views, targets.router, targets.popularity, targets.grants
         ),
-        crashes=CrashParts(suspects, deaths, SuspectPlaces(timers=timers, mesh=mesh)),
+        crashes=CrashParts(
+            suspects, deaths, SuspectReservations(timers=timers, mesh=mesh)
+        ),
         claims=claims,
         retries=retries,
         shares=targets.shares,
-        spares=spares,
+        hot_copies=hot_copies,
         attempts=attempts,
         sent=sent,
     )
--- a/hawthornlead/decisions/views.py
+++ b/hawthornlead/decisions/views.py
@@ -12,7 +12,7 @@
 
 # Owners change without a call to this module, so the views are rebuilt this often
 # even when nothing else was heard.
-VIEW_KEEP_S = 0.25
+VIEW_MAX_AGE_S = 0.25
 
 
 def target_resource(target: str) -> str:
@@ -29,7 +29,7 @@
     """What this VM knows of one target.
 
     ``owner_vm`` is empty while nobody owns it, ``state`` None until its owner was
-    heard, ``heard_at`` by the timer service's clock (0 when never heard).
+    heard, ``last_seen_at`` by the timer service's clock (0 when never heard).
     """
 
     target: str
@@ -38,7 +38,7 @@
     base_models: tuple[str, ...]
     owner_vm: str
     state: TargetState | None
-    heard_at: float
+    last_seen_at: float
     leaving: bool
     slots: int = 0
     max_running: int = 0
@@ -82,7 +82,7 @@
         self._refresh()
         return self._views.get(target)
 
-    def take(self, state: TargetState) -> bool:
+    def apply_state(self, state: TargetState) -> bool:
         """Take in what an owner tells; return whether it was news.
 
         The newest fence wins, then the newest serial: a message of a superseded
@@ -102,14 +102,14 @@
         return True
 
     async def _on_target_state(self, sender, state: TargetState) -> None:
-        self.take(state)
+        self.apply_state(state)
 
     def _on_vm_list(self, *_unused) -> None:
         self._built_at = None
 
     def _refresh(self) -> None:
         now = self._timers.now()
-        if self._built_at is not None and now - self._built_at < VIEW_KEEP_S:
+        if self._built_at is not None and now - self._built_at < VIEW_MAX_AGE_S:
             return
         self._built_at = now
         self._entries = {entry.name: entry for entry in self._vm_list.engines()}
@@ -131,7 +131,7 @@
             base_models=tuple(attributes.get("base_models", ())),
             owner_vm=owner.vm if owner is not None else "",
             state=state,
-            heard_at=self._heard_at.get(entry.name, 0.0),
+            last_seen_at=self._heard_at.get(entry.name, 0.0),
             leaving=leaving,
             slots=int(attributes.get("slots", 0)),
             max_running=int(attributes.get("max_running", 0)),
--- a/hawthornlead/engines/target_deaths.py
+++ b/hawthornlead/engines/target_deaths.py
@@ -46,26 +46,26 @@
         self._running: dict[str, dict[str, RunningAttempt]] = defaultdict(dict)
         self._boot_ids: dict[str, str] = {}
 
-    def started(
+    def record_start(
         self, view: TargetView, attempt_id: str, fingerprint: bytes
     ) -> RunningAttempt:
         """Note that an attempt goes to a target, at the start that is known of it."""
         if view.state is not None and view.state.boot_id:
-            self.learn(view.target, view.state.boot_id)
+            self.record_boot_id(view.target, view.state.boot_id)
         boot_id = self._boot_ids.get(view.target, "")
         attempt = RunningAttempt(fingerprint, boot_id)
         self._running[view.target][attempt_id] = attempt
         return attempt
 
-    def ended(self, target: str, attempt_id: str) -> None:
+    def record_end(self, target: str, attempt_id: str) -> None:
         """Note that an attempt has ended."""
         self._running[target].pop(attempt_id, None)
 
-    def running(self, target: str) -> tuple[bytes, ...]:
+    def running_fingerprints(self, target: str) -> tuple[bytes, ...]:
         """Return the fingerprints of what this VM runs on a target."""
-        return tuple(one.fingerprint for one in self._running[target].values())
+        return tuple(attempt.fingerprint for attempt in self._running[target].values())
 
-    async def suspect(
+    async def check(
         self, view: TargetView, attempt: RunningAttempt, failure: Failure
     ) -> None:
         """Test a target that failed an attempt, and share the suspects if it died.
@@ -73,9 +73,9 @@
         Held against the boot id that was known when the attempt began: by now
         another attempt may have met the target's next start.
         """
-        there = (attempt, *self._running[view.target].values())
+        attempts = (attempt, *self._running[view.target].values())
         fingerprints = {
-            one.fingerprint for one in there if one.boot_id == attempt.boot_id
+            other.fingerprint for other in attempts if other.boot_id == attempt.boot_id
         }
         health = await self._clients.client(view.address).health()
         if isinstance(health, Err):
@@ -83,19 +83,19 @@
                 return
         else:
             now = health.ok_value.boot_id
-            self.learn(view.target, now)
+            self.record_boot_id(view.target, now)
             if attempt.boot_id in ("", now):
                 return
-        self._tell(view, attempt.boot_id, tuple(sorted(fingerprints)), failure)
+        self._report_death(view, attempt.boot_id, tuple(sorted(fingerprints)), failure)
 
-    def learn(self, target: str, boot_id: str) -> None:
+    def record_boot_id(self, target: str, boot_id: str) -> None:
         """Note a target's boot id, as seen while it was well."""
         self._boot_ids[target] = boot_id
 
-    def _tell(self, view, boot_id: str, fingerprints, failure: Failure) -> None:
+    def _report_death(self, view, boot_id: str, fingerprints, failure: Failure) -> None:
         if failure.kind is not ErrorKind.TARGET_UNREACHABLE:
             message = CrashSuspects(view.target, boot_id, fingerprints)
-            self._suspects.died(view.target, boot_id, fingerprints)
+            self._suspects.record_death(view.target, boot_id, fingerprints)
             self._mesh.broadcast(message)
         if view.owner_vm:
             self._mesh.cast(
--- a/hawthornlead/gateway/engine_releases.py
+++ b/hawthornlead/gateway/engine_releases.py
@@ -25,7 +25,7 @@
 
     ::
 
-        await releases.give_back(tuple(owners.values()))
+        await releases.release_all(tuple(owners.values()))
     """
 
     def __init__(
@@ -58,7 +58,7 @@
                 return
             await self._timers.sleep(STORE_LOOK_S)
 
-    async def give_back(self, owners: tuple[EngineOwner, ...]) -> None:
+    async def release_all(self, owners: tuple[EngineOwner, ...]) -> None:
         """Order engines no more, and let others claim them."""
         await asyncio.gather(*[self._release(owner) for owner in owners])
 
@@ -70,9 +70,9 @@
             # The store may or may not have taken it. The others find out by the lease.
             return
         word = TargetReleased(owner.target, released.fence)
-        self._targets.note_released(self._memberships.vm, word.target, word.fence)
+        self._targets.on_released(self._memberships.vm, word.target, word.fence)
         self._mesh.broadcast(word)
 
     async def _on_released(self, sender, message: TargetReleased) -> None:
-        self._targets.note_released(sender.vm, message.target, message.fence)
+        self._targets.on_released(sender.vm, message.target, message.fence)
         self._ownerships.note_released(message.target)
--- a/hawthornlead/gateway/placers.py
+++ b/hawthornlead/gateway/placers.py
@@ -25,7 +25,7 @@
     ServiceSpec,
     TargetEntry,
 )
-from .refusals import overload, unwanted
+from .refusals import backoff_failure, overload_failure
 from .run_times import RunTimes
 from .target_backoffs import TargetBackoffs
 from .target_choices import Candidate, Holding
@@ -73,7 +73,7 @@
     counted: bool = False
 
 
-class Wanted(NamedTuple):
+class PlacementRequest(NamedTuple):
     """A request that wants a place; ``excluded`` targets have had it already."""
 
     route: Route
@@ -100,7 +100,7 @@
         loads: TargetLoads,
         healths: TargetHealths,
         limits: TargetLimits,
-        rests: TargetBackoffs,
+        backoffs: TargetBackoffs,
         mesh: FleetMesh,
         timers: TimerService,
         metrics: GatewayMetrics,
@@ -111,7 +111,7 @@
         self._targets = targets
         self._loads = loads
         self._limits = limits
-        self._rests = rests
+        self._backoffs = backoffs
         self._mesh = mesh
         self._configuration: Configuration | None = None
         self._survey = CandidateScorer(
@@ -120,16 +120,16 @@
             loads=loads,
             healths=healths,
             limits=limits,
-            rests=rests,
+            backoffs=backoffs,
             timers=timers,
             run_times=run_times,
         )
 
-    def take(self, configuration: Configuration) -> None:
+    def apply_configuration(self, configuration: Configuration) -> None:
         """Take a newer configuration."""
         self._configuration = configuration
 
-    async def place(self, wanted: Wanted) -> Result[Placed, Failure]:
+    async def place(self, wanted: PlacementRequest) -> Result[Placed, Failure]:
         """Return where the request goes, its adapter ready there."""
         spec = self._configuration.service(wanted.service)
         if spec is None:
@@ -141,7 +141,7 @@
         reading = reading_share(wanted.route, request)
         tries = TargetSearch(
             excluded=wanted.excluded,
-            score=lambda excluded: self._survey.scored(spec, key, excluded, reading),
+            score=lambda excluded: self._survey.score(spec, key, excluded, reading),
             timers=self._timers,
         )
         while tries.left:
@@ -151,7 +151,7 @@
             best = tries.best(slack_s)
             if best is None:
                 return Err(failure._replace(retry_after_s=tries.full_retry_s))
-            refusal = overload(
+            refusal = overload_failure(
                 best, wanted.route, wanted.deadline_at - self._timers.now()
             )
             if refusal is not None:
@@ -159,14 +159,14 @@
             target = best.candidate.target
             entry = self._targets.entries.get(target)
             if entry is None:
-                tries.note_failed(target, _gone())
+                tries.record_failure(target, _gone())
                 continue
             placed = Placed(
                 entry,
                 key if spec.engine else None,
                 *best,
                 tries.count,
-                counted=self._limits.limited(target),
+                counted=self._limits.is_limited(target),
             )
             slot_wait_s = slack_s if tries.is_full(target) else 0.0
             ready = await self._prepare_within_limit(
@@ -175,12 +175,12 @@
             if ready.is_ok():
                 return Ok(placed._replace(turn_s=ready.ok_value))
             failure = ready.err_value
-            tries.note_failed(target, failure)
+            tries.record_failure(target, failure)
         return Err(failure)
 
     async def _prepare_within_limit(
         self,
-        wanted: Wanted,
+        wanted: PlacementRequest,
         spec: ServiceSpec,
         placed: Placed,
         place_until: float,
@@ -191,16 +191,16 @@
         It counts from here on: while its adapter is loaded others are placed.
         """
         target = placed.entry.target
-        if not self._limits.take(target):
-            return Err(unwanted(self._limits.wait_s(target)))
+        if not self._limits.acquire(target):
+            return Err(backoff_failure(self._limits.wait_s(target)))
         ready = await self._prepare(wanted, spec, placed, place_until, slot_wait_s)
         if ready.is_err() and placed.counted:
-            self._limits.give_back(target)
+            self._limits.refund(target)
         return ready
 
     async def _prepare(
         self,
-        wanted: Wanted,
+        wanted: PlacementRequest,
         spec: ServiceSpec,
         placed: Placed,
         place_until: float,
@@ -222,7 +222,7 @@
             if not self._targets.is_current(entry):
                 return Err(_gone())
             if loaded.is_err():
-                self._survey.note_full(entry.target, loaded.err_value)
+                self._survey.mark_full(entry.target, loaded.err_value)
                 return loaded
         if spec.engine is not None:
             turn = await self._await_turn(wanted, placed)
@@ -230,11 +230,11 @@
                 return turn
             turn_s = turn.ok_value
         if not self._targets.is_current(entry):
-            self.note_ended(placed)
+            self.notify_ended(placed)
             return Err(_gone())
         return Ok(turn_s)
 
-    def note_ended(self, placed: Placed) -> None:
+    def notify_ended(self, placed: Placed) -> None:
         """Tell a target's owner that a request which had its turn is over.
 
         Without this word an adapter would seem in use for 0.2 s to 0.6 s longer than it
@@ -248,11 +248,11 @@
         message = RequestEnded(entry.target, *key, running, entry.started_ms)
         send(self._mesh, owner, message)
 
-    def forget(self, target: str) -> None:
+    def discard(self, target: str) -> None:
         """Drop what was noted of a target that is gone, or started again."""
-        self._survey.forget(target)
+        self._survey.discard(target)
 
-    def note_missing(self, target: str, key: AdapterKey) -> None:
+    def notify_missing(self, target: str, key: AdapterKey) -> None:
         """Tell a target's owner that it refused a request for want of an adapter."""
         owner = self._targets.owner(target)
         if owner:
@@ -264,13 +264,13 @@
         waits = []
         for entry in self._targets.of_service(spec.name):
             target = entry.target
-            rest_s = self._rests.wait_s(target)
-            if rest_s or self._limits.limited(target):
+            rest_s = self._backoffs.wait_s(target)
+            if rest_s or self._limits.is_limited(target):
                 waits.append(max(rest_s, self._limits.wait_s(target)))
-        return unwanted(min(waits)) if waits else None
+        return backoff_failure(min(waits)) if waits else None
 
     async def _await_turn(
-        self, wanted: Wanted, placed: Placed
+        self, wanted: PlacementRequest, placed: Placed
     ) -> Result[float | None, Failure]:
         """Wait until the engine may read the prompt, and return for how long.
 
@@ -281,7 +281,7 @@
         entry = placed.entry
         target = entry.target
         request = wanted.request
-        if not self._targets.orderable(target):
+        if not self._targets.is_orderable(target):
             return Ok(None)
         last = placed.tries >= MAX_LOAD_TRIES
         # One that was loaded for this request would be fetched again elsewhere, though
@@ -303,9 +303,9 @@
         if reply.is_err():
             return Ok(None)
         if not reply.ok_value.held:
-            self._targets.note_absent(target, placed.key)
+            self._targets.mark_absent(target, placed.key)
             return Err(Failure(ErrorKind.LOAD_FAILED, "the adapter has left", 0.2))
-        self._targets.note_turn(target, reply.ok_value.wait_s)
+        self._targets.record_turn(target, reply.ok_value.wait_s)
         if not reply.ok_value.reserved:
             return Err(Failure(ErrorKind.TOO_LATE_TO_START, "prompts wait there", 0.3))
         now = self._timers.now()
@@ -316,13 +316,17 @@
             await self._timers.sleep(wait_s)
         return Ok(max(0.0, wait_s))
 
-    def _slot_due_at(self, wanted: Wanted) -> float:
+    def _slot_due_at(self, wanted: PlacementRequest) -> float:
         """Return when an adapter must be ordered for an answer within its objective."""
         begun_by = wanted.arrived_at + wanted.route.objective_ms / 1000
         return min(begun_by, wanted.deadline_at) - START_S
 
     async def _load(
-        self, wanted: Wanted, placed: Placed, wait_s: float, slot_wait_s: float
+        self,
+        wanted: PlacementRequest,
+        placed: Placed,
+        wait_s: float,
+        slot_wait_s: float,
     ) -> Result[AdapterLoaded, Failure]:
         entry, key = placed.entry, placed.key
         owner = self._targets.owner(entry.target)
--- a/hawthornlead/tests/test_spares.py
+++ b/hawthornlead/tests/test_hot_copies.py
@@ -4,7 +4,7 @@
 
 from hawthornlead.decisions.placements import PLACEMENTS
 from hawthornlead.decisions.popularities import POPULARITIES
-from hawthornlead.engines.spares import PAUSE_S, SpareCopies
+from hawthornlead.engines.hot_copies import CHECK_INTERVAL_S, HotCopies
 from hawthornlead.errors import ErrorKind, Failure
 from hawthornlead.settings import default_settings
 from hawthornlead.timers import ManualTimerService
@@ -22,7 +22,7 @@
         self.asked = []
 
     async def acquire(self, target, assignment, **options):
-        self.asked.append((target, assignment.adapter, options["ahead"]))
+        self.asked.append((target, assignment.adapter, options["prefetch"]))
         return Err(Failure(ErrorKind.NO_SLOT, "in use"))
 
 
@@ -30,7 +30,7 @@
     timers, grants = ManualTimerService(), _Grants()
     settings = default_settings(COPY_RATE=4.0)
     popularity = POPULARITIES["decayed"](settings=settings)
-    spares = SpareCopies(
+    spares = HotCopies(
         timers=timers,
         views=_Views(),
         grants=grants,
@@ -47,7 +47,7 @@
 async def test_a_hot_adapter_gets_one_more_copy_ahead():
     asked = await _asked(requests_per_s=40)
     assert asked and set(asked) == {("two", "tide", True)}
-    assert len(asked) <= 20 / PAUSE_S + 1
+    assert len(asked) <= 20 / CHECK_INTERVAL_S + 1
 
 
 async def test_a_cold_adapter_gets_none():
--- a/hawthornlead/tests/test_leaving_targets.py
+++ b/hawthornlead/tests/test_leaving_targets.py
@@ -28,7 +28,7 @@
             arrived = len(target.arrivals)
             for gateway in deployment.gateways:
                 await deployment.until(
-                    lambda g=gateway, t=target: not g._targets.usable(t.target)
+                    lambda g=gateway, t=target: not g._targets.is_usable(t.target)
                 )
             for vm in (0, 1):
                 answers = await send_batch(deployment, vm, path, method, **headers)
@@ -50,7 +50,7 @@
         await deployment.until(
             lambda: known.incarnation(target.target).started_ms == started_ms
         )
-        assert known.usable(target.target)
+        assert known.is_usable(target.target)
         arrived = len(target.arrivals)
         await send_batch(deployment, 0, "/safe/x", "GET")
         assert len(target.arrivals) > arrived
--- a/hawthornlead/tests/test_requests.py
+++ b/hawthornlead/tests/test_requests.py
@@ -45,15 +45,15 @@
             views=None,
             clients=None,
         )
-        parts = "keeper admissions claims retries attempts shares spares sent"
+        parts = "keeper admissions claims retries attempts shares hot_copies sent"
         self.path = RequestPath(
             core=core._replace(invariants=None),
             routing=Routing(views=self, router=self, popularity=None, grants=self),
-            crashes=CrashParts(self.suspects, self.deaths, places=self),
+            crashes=CrashParts(self.suspects, self.deaths, suspect_reservations=self),
             **dict.fromkeys(parts.split()),
         )
 
-    async def take(self, view, request_id, hold_s):
+    async def reserve(self, view, request_id, hold_s):
         """Give out the place for a suspect, as an owner that gives out no other."""
         return Ok(None)
 
@@ -77,8 +77,8 @@
         """Let a request that is a suspect run on a target."""
         view = next(view for view in self.views() if view.target == target)
         fingerprint = self.request(prompt).fingerprint
-        self.suspects.died("t0", "boot-1", [fingerprint])
-        self.deaths.started(view, f"{prompt}.1", fingerprint)
+        self.suspects.record_death("t0", "boot-1", [fingerprint])
+        self.deaths.record_start(view, f"{prompt}.1", fingerprint)
 
     def request(self, prompt, left_s=5.0):
         """Return a request with some seconds to its deadline."""
@@ -102,7 +102,7 @@
     One of them is innocent. Kept apart, the next death names the one that did it.
     """
     site.run_on("t1", "bad")
-    site.suspects.died("t0", "boot-1", [site.request("suspect").fingerprint])
+    site.suspects.record_death("t0", "boot-1", [site.request("suspect").fingerprint])
     waiting = site.grant("suspect")
     await asyncio.sleep(0)
     await site.timers.advance(1)
@@ -115,12 +115,12 @@
 async def test_a_suspect_waits_where_suspects_run_everywhere(site):
     for target in ("t1", "t2"):
         site.run_on(target, f"bad-{target}")
-    site.suspects.died("t0", "boot-1", [site.request("suspect").fingerprint])
+    site.suspects.record_death("t0", "boot-1", [site.request("suspect").fingerprint])
     waiting, refused = site.grant("suspect"), site.grant("suspect")
     await asyncio.sleep(0)
     await site.timers.advance(1)
     assert not waiting.done()
-    site.deaths.ended("t2", "bad-t2.1")
+    site.deaths.record_end("t2", "bad-t2.1")
     await asyncio.sleep(0)
     await site.timers.advance(1)
     one_try, _ = (await waiting).ok_value
@@ -131,7 +131,7 @@
 async def test_a_suspect_that_waits_to_its_deadline_did_not_run(site):
     for target in ("t1", "t2"):
         site.run_on(target, f"bad-{target}")
-    site.suspects.died("t0", "boot-1", [site.request("suspect").fingerprint])
+    site.suspects.record_death("t0", "boot-1", [site.request("suspect").fingerprint])
     waiting = site.grant("suspect")
     await asyncio.sleep(0)
     await site.timers.advance(6)
@@ -152,7 +152,7 @@
             site.run_on("t1", "bad")
 
     site.on_acquire = other_begins
-    site.suspects.died("t0", "boot-1", [site.request("suspect").fingerprint])
+    site.suspects.record_death("t0", "boot-1", [site.request("suspect").fingerprint])
     waiting = site.grant("suspect")
     await asyncio.sleep(0)
     await site.timers.advance(1)
--- a/hawthornlead/tests/test_run_times.py
+++ b/hawthornlead/tests/test_run_times.py
@@ -7,7 +7,7 @@
 from prometheus_client import CollectorRegistry
 
 from hawthornlead.gateway.gateway_metrics import GatewayMetrics
-from hawthornlead.gateway.placers import Placer, Wanted
+from hawthornlead.gateway.placers import PlacementRequest, Placer
 from hawthornlead.gateway.records import (
     CallerRequest,
     Configuration,
@@ -17,7 +17,7 @@
     ServiceSpec,
     TargetEntry,
 )
-from hawthornlead.gateway.run_times import PLAIN_START_MS, RunTimes
+from hawthornlead.gateway.run_times import INITIAL_PLAIN_RUN_MS, RunTimes
 from hawthornlead.gateway.target_choices import Holding
 from hawthornlead.timers import ManualTimerService
 
@@ -92,13 +92,13 @@
             loads=self._load,
             healths=Quiet(),
             limits=Unlimited(),
-            rests=Unlimited(),
+            backoffs=Unlimited(),
             mesh=None,
             timers=self.timers,
             metrics=GatewayMetrics(CollectorRegistry()),
             run_times=self.times,
         )
-        self._placer.take(Configuration(1, (ROUTE,), (PLAIN,), None))
+        self._placer.apply_configuration(Configuration(1, (ROUTE,), (PLAIN,), None))
 
     async def ask(self) -> float | None:
         """Send a request; return how long its answer takes, None if it is refused."""
@@ -106,7 +106,9 @@
         while self._ends and self._ends[0][0] <= now:
             _, target = heapq.heappop(self._ends)
             self._load.counts[target] -= 1
-        wanted = Wanted(ROUTE, "bulletins", REQUEST, now, now + DEADLINE_S, frozenset())
+        wanted = PlacementRequest(
+            ROUTE, "bulletins", REQUEST, now, now + DEADLINE_S, frozenset()
+        )
         placed = await self._placer.place(wanted)
         if placed.is_err():
             return None
@@ -116,7 +118,7 @@
         end_at = began_at + self._run_s
         heapq.heappush(self._free_at[target], end_at)
         heapq.heappush(self._ends, (end_at, target))
-        self.times.note(PLAIN, end_at - now, running, SLOTS)
+        self.times.record(PLAIN, end_at - now, running, SLOTS)
         return end_at - now
 
 
@@ -159,10 +161,10 @@
 
 def test_run_times_start_by_the_kind_of_service_and_follow_what_is_seen():
     times = RunTimes()
-    assert times.run_ms(PLAIN) == PLAIN_START_MS
+    assert times.run_ms(PLAIN) == INITIAL_PLAIN_RUN_MS
     assert times.run_ms(ENGINES) > 1000
     for _ in range(200):
-        times.note(PLAIN, 0.02, 1, SLOTS)
-        times.note(ENGINES, 1.2, 16, 8)
+        times.record(PLAIN, 0.02, 1, SLOTS)
+        times.record(ENGINES, 1.2, 16, 8)
     assert times.run_ms(PLAIN) == pytest.approx(20, rel=0.05)
     assert times.run_ms(ENGINES) == pytest.approx(600, rel=0.05)
