--- a/hawthornlead/ownership/__init__.py
+++ b/hawthornlead/ownership/__init__.py
@@ -1,6 +1,7 @@
-"""Which VMs are live, and which of them alone may decide about a resource.
+"""Determines which VMs are live, and which one of them owns a resource.
 
-Leases with their proofs of death, fenced ownership, registration and members.
+Contains leases and the proofs that a VM has stopped, ownership with fencing numbers,
+registrations, and the members that this VM sees.
 
 May import: the common modules, mesh, stores.
 """
--- a/hawthornlead/ownership/lease_objects.py
+++ b/hawthornlead/ownership/lease_objects.py
@@ -1,14 +1,14 @@
-"""The objects of kind ``leases``: which VM starts are registered, live or ended.
+"""The store objects of kind ``leases``: registered incarnations, live or ended.
 
-The value of ``leases/DC-n`` maps each incarnation to its entry::
+The value of ``leases/DC-n`` maps each incarnation (one start of a VM) to its entry::
 
     {"entries": {"vm-1.5f": {"vm": "vm-1", "state": "live", ...}}}
 
-They change only when VMs come and go, and every VM watches them; the counters of
-the leases stand apart (``renewal_objects``). An entry is marked ended only after
-its lease was removed there. All functions that change a value work on the copy that
-``ObjectStore.update`` hands to its ``change``, and return it, or None when there
-is nothing to change.
+They change only when VMs come and go, and every VM watches them. The counters of the
+leases are in other objects (``renewal_objects``); an entry is marked ended only after
+its lease was removed there. The functions ``with_...`` change the copy of a value that
+``ObjectStore.update`` passes to its ``change``, and return it, or None if there is
+nothing to change.
 """
 
 from collections.abc import Iterable
@@ -19,7 +19,7 @@
 KIND = "leases"
 LIVE = "live"
 ENDED = "ended"
-# Why an entry was ended. With the last one, nothing proves that the VM stopped.
+# Why an entry was ended. All but ``SILENT`` prove that the process has stopped.
 RELEASED = "released"
 GOODBYE = "goodbye"
 REFUSED = "refused"
@@ -29,9 +29,10 @@
 
 
 class Registration(NamedTuple):
-    """One VM start as the store knows it; ``proof`` tells why it was ended.
+    """One start of a VM as registered in the store.
 
-    ``counter`` is that of the registration; renewals do not change it.
+    ``counter`` is the lease's counter at registration; renewals do not change it.
+    ``state`` is ``LIVE`` or ``ENDED``, and ``proof`` tells why it was ended.
     """
 
     vm: str
@@ -45,12 +46,12 @@
 
     @property
     def stopped(self) -> bool:
-        """Whether it was ended on proof that its process has stopped."""
+        """Whether it was ended with proof that its process has stopped."""
         return self.state == ENDED and self.proof in STOP_PROOFS
 
 
 def next_incarnation(incarnation: str) -> str:
-    """Name the incarnation under which the same process goes on after an end.
+    """Return the next incarnation of the same process after its lease was ended.
 
     >>> next_incarnation("vm-1.5f"), next_incarnation("vm-1.5f+2")
     ('vm-1.5f+2', 'vm-1.5f+3')
@@ -60,16 +61,16 @@
 
 
 def process_of(incarnation: str) -> str:
-    """Return the first incarnation of the process, which the other VMs meet.
+    """Return the first incarnation of a process, by which other VMs connect to it.
 
-    Proof that a process has stopped is proof for all of its incarnations; that one
-    of them was ended proves nothing of the process.
+    Proof that a process has stopped holds for all its incarnations. The end of one
+    of them does not prove that the process has stopped.
     """
     return incarnation.partition("+")[0]
 
 
 def registrations(value: dict) -> list[Registration]:
-    """Read all entries of one object."""
+    """Decode all entries of one object."""
     return [
         Registration(
             entry["vm"],
@@ -86,7 +87,7 @@
 
 
 def live_among(listed: StoreList) -> set[str]:
-    """Return the incarnations that are live in a list of all objects."""
+    """Return the live incarnations in a listing of all objects."""
     return {
         registration.incarnation
         for item in listed.items
@@ -96,7 +97,7 @@
 
 
 def with_registered(value: dict | None, new: Registration) -> dict | None:
-    """Enter a VM start, or return None when it is there already."""
+    """Add a registration, or return None if it is there already."""
     value = value or {"entries": {}}
     entries = value["entries"]
     if new.incarnation in entries:
@@ -108,7 +109,7 @@
 
 
 def with_ended(value: dict | None, incarnation: str, proof: str) -> dict | None:
-    """Mark an entry ended; one ended for silence can be proved stopped later."""
+    """Mark an entry ended; one that ended without proof can get one later."""
     entry = (value or {"entries": {}})["entries"].get(incarnation)
     if entry is None:
         return None
@@ -121,13 +122,13 @@
 
 
 def with_pruned(value: dict | None, pruned: Iterable[str]) -> dict | None:
-    """Remove entries that were ended on proof."""
+    """Remove those of the given entries that were ended with proof."""
     entries = (value or {"entries": {}})["entries"]
-    found = [
+    removed = [
         incarnation
         for incarnation in pruned
         if entries.get(incarnation, {}).get("proof") in STOP_PROOFS
     ]
-    for incarnation in found:
+    for incarnation in removed:
         del entries[incarnation]
-    return value if found else None
+    return value if removed else None
--- a/hawthornlead/ownership/lease_terminators.py
+++ b/hawthornlead/ownership/lease_terminators.py
@@ -1,4 +1,4 @@
-"""Ends the leases of VMs that are gone, so that what they owned can be taken."""
+"""Ends the leases of VMs that are gone, so that what they owned can be taken over."""
 
 import asyncio
 
@@ -21,26 +21,27 @@
 from .registrations import RegistrationTable, SeenRegistration
 from .renewal_objects import CounterTable, counters_of, renewal_kind, with_removed
 
-# Ended entries that are proved stopped, and leases that were entered but never
-# registered, are kept for so many leases.
+# Registrations that ended with proof, and leases that were entered but never
+# registered, are removed after this many lease times.
 ENDED_RETENTION_LEASES = 20
-# No lease has this counter: an end under it succeeds only if there is no lease.
+# No lease has this counter, so an end with it succeeds only if there is no lease.
 NO_COUNTER = -1
+# VMs of a higher rank in the order of termination wait no longer than this one.
 MAX_RANK = 4
 
 
 def clock_safe_wait_s(seconds: float, rate_error: float) -> float:
-    """Return how long to wait so that ``seconds`` have passed on another's clock.
+    """Return how long to wait until ``seconds`` have passed on any other VM's clock.
 
-    The other's clock may be slow by the rate error and one's own fast by it.
+    That clock may be slow, and this VM's own fast, by the rate error.
     """
     return seconds * (1 + rate_error) / (1 - rate_error)
 
 
 class LeaseTerminator:
-    """Ends leases: at once on proof, else when they have run out by any clock.
+    """Ends leases at once on proof, else after they have expired by any clock.
 
-    ``holder`` is the ``LeaseKeeper`` of this VM.
+    ``holder`` is this VM's own ``LeaseKeeper``.
     """
 
     def __init__(
@@ -70,18 +71,18 @@
         self._task: asyncio.Task | None = None
 
     def start(self) -> None:
-        """Begin to look for leases to end."""
+        """Start to check for leases to end."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def stop(self) -> None:
-        """End none any more."""
+        """Stop ending leases."""
         if self._task is not None:
             self._task.cancel()
 
     async def end(
         self, vm: str, incarnation: str, proof: str | None
     ) -> Result[None, Failure]:
-        """End a lease; see ``LeaseKeeper.end``."""
+        """End a lease if that is safe now; see ``LeaseKeeper.end``."""
         seen = self._registrations.seen(incarnation)
         if seen is None:
             return Ok(None)
@@ -89,10 +90,10 @@
             return await self.write_end(seen, proof, None)
         if seen.registration.state == ENDED:
             return Ok(None)
-        left = self._left_of(seen)
-        if left > 0:
-            detail = f"{vm} may still hold its lease"
-            return Err(Failure(ErrorKind.NOT_READY, detail, left))
+        left_s = self._remaining_s(seen)
+        if left_s > 0:
+            detail = f"{vm} may still hold its lease; it has not expired on its clock"
+            return Err(Failure(ErrorKind.NOT_READY, detail, left_s))
         known = self._counters.seen(incarnation)
         counter = known.counter if known is not None else NO_COUNTER
         return await self.write_end(seen, SILENT, counter)
@@ -102,8 +103,8 @@
     ) -> Result[None, Failure]:
         """Remove the lease, then mark the registration ended.
 
-        The first write decides, and every renewal after it fails. If this VM dies
-        between the two, another finds the lease gone and does the second.
+        The first write ends the lease: every later renewal fails. If this VM dies
+        between the two writes, another VM finds the lease gone and does the second.
         """
         registration = seen.registration
         incarnation = registration.incarnation
@@ -134,14 +135,14 @@
             try:
                 await self._sweep()
             except Exception:
-                # A bug met with one VM must not keep the others' leases for ever.
-                logger.exception("ending leases failed")
+                # A bug that concerns one VM must not keep all other leases for ever.
+                logger.exception("ending leases failed; it is retried")
 
     async def _sweep(self) -> None:
-        """End the leases of VMs that are proved gone or have run out.
+        """End the leases that have expired or whose VMs are proved gone.
 
-        The VM that rendezvous hashing prefers goes first, so that not all write
-        at once; the others follow if that one does not.
+        Other VMs wait by their rank in the rendezvous order, so that not all write at
+        once; each goes ahead if those before it have not.
         """
         now = self._timers.now()
         suspects = {}
@@ -155,27 +156,27 @@
             ended = await self.end(registration.vm, incarnation, proof)
             if ended.is_ok():
                 continue
-            # Come back one interval later rather than at the next sweep.
+            # Retry one renewal interval later, not at the next sweep.
             suspects[incarnation] = now + self._renew_s
             if ended.err_value.kind is ErrorKind.STORE_UNAVAILABLE:
                 suspects = {**self._suspect_since, **suspects}
                 break
         self._suspect_since = suspects
-        await self._tidy(now)
+        await self._prune(now)
 
     def _suspects(self) -> list[tuple[SeenRegistration, str | None]]:
-        # After an outage of the store every counter has stood still, and whoever
-        # renews first would end all the others. They get a lease's time to renew.
+        # In a store outage no counter changes, and the first VM to renew afterwards
+        # would end all others. It waits one lease time, in which they can renew.
         held_for_s = self._timers.now() - self._holder.held_since
-        steady = held_for_s >= self._settings["LEASE_S"]
+        held_long = held_for_s >= self._settings["LEASE_S"]
         suspects = []
         for seen in self._registrations.live():
             registration = seen.registration
             if registration.incarnation == self._holder.incarnation:
                 continue
             proof = self._proof_gone(registration)
-            silent = steady and self._is_watched(registration)
-            if proof is not None or (silent and self._left_of(seen) <= 0):
+            silent = held_long and self._is_watched(registration)
+            if proof is not None or (silent and self._remaining_s(seen) <= 0):
                 suspects.append((seen, proof))
         for seen in self._registrations.ended_without_proof():
             registration = seen.registration
@@ -189,10 +190,11 @@
         return self._members.proof_gone(registration.vm, process)
 
     def _is_watched(self, registration: Registration) -> bool:
-        """Whether it is for this VM to end another for its silence.
+        """Whether this VM may end another for its silence.
 
-        Each data centre looks after its own counters. Of one where nobody is left
-        others take care; each try reads its counters, which starts the wait.
+        VMs watch the counters of their own data centre. If a data centre has no live VM
+        left, the others end its leases; their first attempt reads its counters, from
+        when the silence is measured.
         """
         if registration.data_centre == self._data_centre:
             return True
@@ -206,26 +208,25 @@
         rank = order.index(self._vm) if self._vm in order else MAX_RANK
         return min(rank, MAX_RANK)
 
-    def _left_of(self, seen: SeenRegistration) -> float:
-        """Seconds until another's lease has run out on its holder's clock."""
+    def _remaining_s(self, seen: SeenRegistration) -> float:
+        """Return the seconds until a lease has surely expired on its holder's clock."""
         known = self._counters.seen(seen.registration.incarnation)
         since = known.since if known is not None else seen.since
         error = self._settings["CLOCK_RATE_ERROR"]
         wait = clock_safe_wait_s(self._settings["LEASE_S"], error)
         return since + wait - self._timers.now()
 
-    async def _tidy(self, now: float) -> None:
-        """Remove what nobody needs any more; one VM of the data centre does it.
+    async def _prune(self, now: float) -> None:
+        """Remove old entries, if this VM does so for its data centre.
 
-        That is entries that are proved stopped, and leases whose VMs died before
-        they were registered (one that was only frozen finds its lease gone at the
-        next renewal).
+        These are registrations proved stopped, and leases whose VMs died before they
+        registered. A VM that was only frozen finds its lease gone at its next renewal.
         """
         names = self._members.in_data_centre(self._data_centre)
         if not names or rendezvous("tidy", names)[0] != self._vm:
             return
-        limit = now - ENDED_RETENTION_LEASES * self._settings["LEASE_S"]
-        prunable = self._registrations.prunable(self._data_centre, limit)
+        oldest = now - ENDED_RETENTION_LEASES * self._settings["LEASE_S"]
+        prunable = self._registrations.prunable(self._data_centre, oldest)
         for shard, pruned in prunable.items():
             pruning = await self._store.update(
                 KIND, shard, lambda value, p=pruned: with_pruned(value, p)
@@ -233,7 +234,7 @@
             if pruning.is_ok():
                 self._registrations.apply(pruning.ok_value)
         for incarnation, known in self._counters.all().items():
-            if known.since > limit or self._registrations.seen(incarnation):
+            if known.since > oldest or self._registrations.seen(incarnation):
                 continue
             await self._store.update(
                 renewal_kind(self._data_centre),
--- a/hawthornlead/ownership/leases.py
+++ b/hawthornlead/ownership/leases.py
@@ -1,10 +1,10 @@
-"""The VM's lease: registered, renewed, noticed when lost; others' ended.
+"""Registers this VM, renews its lease, and ends the leases of VMs that are gone.
 
 A lease is valid for ``LEASE_S`` from the moment its renewal was sent, by the
 monotonic clock of its holder. Another VM may end it at once on proof that the
-process has stopped, and otherwise only after it saw the counter unchanged for so
-long, by its own clock, that the holder's clock has passed the lease too, however
-the rates of the two clocks differ. An ended incarnation never renews again.
+process has stopped. Without proof it must first see the counter unchanged for so
+long, by its own clock, that the lease has also expired by the holder's clock at the
+largest allowed difference in rate. An ended incarnation never renews again.
 """
 
 import asyncio
@@ -38,7 +38,7 @@
 
 
 class LeaseKeeper:
-    """Keeps this VM's lease, and ends those of VMs that are gone."""
+    """Holds this VM's lease, and ends those of VMs that are gone."""
 
     def __init__(
         self,
@@ -104,7 +104,7 @@
 
     @property
     def incarnation(self) -> str:
-        """The incarnation under which this VM is, or is to be, registered."""
+        """The incarnation under which this VM is or will be registered."""
         return self._incarnation
 
     @property
@@ -118,7 +118,7 @@
 
     @property
     def held_since(self) -> float:
-        """Since when the lease has been held without a gap (``timers.now()``)."""
+        """When the current unbroken hold of the lease began (``timers.now()``)."""
         return self._held_since
 
     @property
@@ -129,19 +129,19 @@
     def held(self, for_s: float = 0.0) -> bool:
         """Whether the lease is valid now and for ``for_s`` seconds more.
 
-        Reads the clock: a process that was frozen learns here that its lease ran
-        out, before any message can tell it.
+        Reads the clock, so a process that was frozen learns here that its lease
+        expired, before it has handled any message.
         """
         if self._ended or not self._shard:
             return False
         return self._timers.now() + for_s < self._valid_until
 
     def registered(self) -> tuple[Registration, ...]:
-        """All registrations known, live and ended ones."""
+        """All known registrations, live and ended."""
         return self._registrations.all()
 
     def registration_of(self, incarnation: str) -> Registration | None:
-        """What is known of one incarnation; None when it is not registered."""
+        """Return the registration of an incarnation, None if none is known."""
         seen = self._registrations.seen(incarnation)
         return seen.registration if seen is not None else None
 
@@ -152,12 +152,12 @@
     def on_ended(self, callback: Callable[[], None]) -> None:
         """Call ``callback`` when this VM learns that its incarnation was ended.
 
-        Afterwards the VM is registered again, under a new incarnation.
+        The VM then registers again under a new incarnation.
         """
         self._on_ended.append(callback)
 
     def start(self) -> None:
-        """Begin to register, renew, and watch the others."""
+        """Start to register, renew, and watch the other VMs' leases."""
         self._mesh.on(RenewLease, self._batcher.handle)
         self._watches = [
             self._store.watch(
@@ -169,7 +169,7 @@
         self._terminator.start()
 
     async def stop(self) -> None:
-        """Renew no more; without ``release`` the lease runs out by itself."""
+        """Stop renewing; unless it was released, the lease expires by itself."""
         for watch in self._watches:
             watch.cancel()
         if self._task is not None:
@@ -178,10 +178,10 @@
         self._batcher.stop()
 
     async def register(self) -> Result[None, Failure]:
-        """Register this VM start, under a new incarnation if the old was ended.
+        """Register this start of the VM, under a new incarnation if the old was ended.
 
-        The lease is entered first, so that a registered VM without a lease is
-        known to be ended.
+        The lease is entered before the registration, so a registered VM without a
+        lease is known to be ended.
         """
         if self._ended:
             self._start_new_incarnation()
@@ -208,7 +208,7 @@
         return Ok(None)
 
     async def release(self) -> Result[None, Failure]:
-        """End the own lease for good, at shutdown, when nothing is owned any more."""
+        """End the own lease for good at shutdown, after all ownership was released."""
         self._released = True
         seen = SeenRegistration(
             self._own_registration(), self._shard, self._timers.now()
@@ -221,13 +221,13 @@
     async def end(
         self, vm: str, incarnation: str, proof: str | None
     ) -> Result[None, Failure]:
-        """End another VM's incarnation, so that what it owned can be taken.
+        """End another VM's incarnation, so that what it owned can be taken over.
 
-        With a ``proof`` of ``members.proof_gone`` at once. Without, only after
-        the counter was seen unchanged until the lease must have run out on its
-        holder's clock, and only if the counter still stands so when the end is
-        written: a renewal written first makes the end fail, an end written first
-        makes every later renewal fail.
+        With a ``proof`` from ``members.proof_gone`` it is ended at once. Without
+        one, the counter must have been unchanged until the lease has expired on its
+        holder's clock, and must still be unchanged when the end is written. A
+        renewal that is written first makes the end fail; an end that is written
+        first makes every later renewal fail.
         """
         return await self._terminator.end(vm, incarnation, proof)
 
@@ -242,8 +242,8 @@
         if not shard:
             return
         # An order that was checked before a freeze and sent after it may still be
-        # running; when it can't be any more, the former incarnation is proved
-        # stopped by this process's own word.
+        # running. Once it can't be any more, this process itself declares its former
+        # incarnation stopped.
         wait = clock_safe_wait_s(
             self._settings["ORDER_S"], self._settings["CLOCK_RATE_ERROR"]
         )
@@ -256,11 +256,11 @@
         self._timers.after(wait, prove_stopped, name="former incarnation")
 
     async def _enter(self, incarnation: str) -> Result[StoredObject, Failure]:
-        """Enter a lease into the first object that has room for it.
+        """Enter a lease into the first object that has a free place.
 
-        A try whose reply was lost may stand in the object that was tried last.
-        The next try begins with that one, so that a lease never stands in two
-        objects, one of which would run out while the other is renewed.
+        An attempt whose reply was lost may have written to the object that was tried
+        last. The next attempt starts with that object. Otherwise the lease could be
+        in two objects, and expire in one while it is renewed in the other.
         """
         counter = self._counter
         while True:
@@ -291,8 +291,8 @@
         )
 
     def _extend(self, incarnation: str, sent_at: float) -> None:
-        # The answer to a renewal of an incarnation that was ended meanwhile, or
-        # replaced, extends nothing.
+        # The answer to a renewal must not extend the lease if its incarnation was
+        # ended or replaced meanwhile.
         if self._ended or incarnation != self._incarnation:
             return
         if not self.held():
@@ -322,7 +322,7 @@
         self._check_own_lease()
 
     def _check_own_lease(self) -> None:
-        """Notice that the store no longer holds this VM's lease."""
+        """Mark the lease as ended if the store no longer has it."""
         if not self._shard:
             return
         incarnation = self._incarnation
@@ -343,16 +343,16 @@
             try:
                 await self._renew_once()
             except Exception:
-                # A bug met in one renewal must not end all later ones.
-                logger.exception("keeping the lease failed")
+                # A bug in one renewal must not prevent all later ones.
+                logger.exception("renewing the lease failed; it is retried")
             if not self._ended and not self.held() and not self._lapse_reported:
                 self._lapse_reported = True
                 self._events.emit(
                     EventKind.LEASE_LAPSED, self._vm, incarnation=self._incarnation
                 )
-            spent = self._timers.now() - started_at
-            pause = self._renew_s * self._rng.uniform(0.9, 1.0) - spent
-            await self._timers.sleep(max(pause, self._renew_s / 10))
+            spent_s = self._timers.now() - started_at
+            pause_s = self._renew_s * self._rng.uniform(0.9, 1.0) - spent_s
+            await self._timers.sleep(max(pause_s, self._renew_s / 10))
 
     async def _renew_once(self) -> None:
         if self._ended or not self._shard:
@@ -376,9 +376,9 @@
         reply = await self._mesh.call(aggregator, message, timeout_s=self._renew_s)
         if reply.is_ok() and isinstance(reply.ok_value, LeaseRenewed):
             return Ok(None)
-        # In an outage of the store the aggregator says so, and the others leave
-        # the store alone until their leases run short; an aggregator that alone
-        # is cut from the store costs them nothing but that delay.
+        # When the aggregator reports a store outage, the other VMs don't call the store
+        # until half of their lease time is left. If only the aggregator is cut off
+        # from the store, this merely delays their own writes.
         outage = reply.is_err() and reply.err_value.kind is ErrorKind.STORE_UNAVAILABLE
         if outage and self.held(self._lease_s / 2):
             return reply
--- a/hawthornlead/ownership/registrations.py
+++ b/hawthornlead/ownership/registrations.py
@@ -1,4 +1,4 @@
-"""What one VM has seen of the registrations of all VMs, and since when."""
+"""The registrations of all VMs as this VM last saw them, and since when."""
 
 from typing import NamedTuple
 
@@ -7,7 +7,7 @@
 
 
 class SeenRegistration(NamedTuple):
-    """A registration, the object that holds it, and since when it stands so."""
+    """A registration, the object that holds it, and since when it is unchanged."""
 
     registration: Registration
     shard: str
@@ -15,7 +15,7 @@
 
 
 class RegistrationTable:
-    """The newest registrations known to this VM, fed by a watch."""
+    """The newest registrations known to this VM, kept current by a watch."""
 
     def __init__(self, timers):
         self._timers = timers
@@ -29,38 +29,38 @@
         return self._synced
 
     def all(self) -> tuple[Registration, ...]:
-        """All registrations, live and ended."""
+        """Return all registrations, live and ended."""
         return tuple(seen.registration for seen in self._seen.values())
 
     def seen(self, incarnation: str) -> SeenRegistration | None:
-        """What is known of one incarnation."""
+        """Return the registration of an incarnation, None if none is known."""
         return self._seen.get(incarnation)
 
     def version(self, shard: str) -> int:
-        """The version of the newest object taken in."""
+        """Return the version of an object that was applied last, 0 if none was."""
         return self._versions.get(shard, 0)
 
     def live(self) -> list[SeenRegistration]:
-        """All that are live by what is known."""
+        """Return the registrations that are live as far as known."""
         return [s for s in self._seen.values() if s.registration.state == LIVE]
 
     def prunable(self, data_centre: str, moment: float) -> dict[str, list[str]]:
-        """Return by object what was ended, with proof, before ``moment``.
+        """Return the incarnations that ended with proof before ``moment``, by object.
 
-        One ended without proof stays: rolls still count on its VM, which may be
-        serving behind a cut.
+        One that ended without proof is kept: its VM may still serve callers behind a
+        network partition, so rolls must still hear from it.
         """
-        found: dict[str, list[str]] = {}
+        prunable: dict[str, list[str]] = {}
         for incarnation, seen in self._seen.items():
             registration = seen.registration
             if registration.data_centre != data_centre or seen.since >= moment:
                 continue
             if registration.stopped:
-                found.setdefault(seen.shard, []).append(incarnation)
-        return found
+                prunable.setdefault(seen.shard, []).append(incarnation)
+        return prunable
 
     def ended_without_proof(self) -> list[SeenRegistration]:
-        """All that were ended without proof that their process stopped."""
+        """Return those that ended without proof that their process has stopped."""
         return [
             seen
             for seen in self._seen.values()
@@ -68,17 +68,17 @@
         ]
 
     def mark_synced(self) -> None:
-        """Note that all objects have been read."""
+        """Mark that all objects have been read."""
         self._synced = True
 
     def apply_event(self, event: WatchEvent) -> None:
-        """Take in a change told by the watch."""
+        """Apply a change that the watch reported."""
         self.apply(event.object)
 
     def apply(self, stored: StoredObject) -> None:
-        """Take in an object as it was read or written, unless a newer is known.
+        """Apply an object that was read or written, unless a newer one is known.
 
-        The watch and the answers to own writes arrive in any order.
+        The watch's events and the answers to own writes arrive in any order.
         """
         if stored.kind != KIND or stored.version <= self.version(stored.name):
             return
@@ -86,9 +86,9 @@
         now = self._timers.now()
         present = {}
         for registration in registrations(stored.value):
-            old = self._seen.get(registration.incarnation)
-            same = old is not None and old.registration == registration
-            since = old.since if same else now
+            known = self._seen.get(registration.incarnation)
+            unchanged = known is not None and known.registration == registration
+            since = known.since if unchanged else now
             present[registration.incarnation] = SeenRegistration(
                 registration, stored.name, since
             )
--- a/hawthornlead/ownership/renewal_batchers.py
+++ b/hawthornlead/ownership/renewal_batchers.py
@@ -1,8 +1,8 @@
-"""The aggregator's side of renewing leases: many renewals, one write.
+"""Batches lease renewals of a data centre's VMs into one store write.
 
-Any VM answers ``RenewLease``; which one is asked is the asker's choice. What
-arrives within ``batch_s`` goes into one conditional update per object, so that
-the writes per second do not grow with the VMs of a data centre.
+Any VM can be the aggregator that answers ``RenewLease``; the requester chooses it.
+Renewals that arrive within ``batch_s`` go into one conditional update per object, so
+the number of writes does not grow with the number of VMs of a data centre.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 
 
 class RenewalBatcher:
-    """Folds the renewals of a data centre's VMs into one write per object."""
+    """Batches the renewals of a data centre's VMs into one write per object."""
 
     def __init__(self, *, store, timers, kind: str, counters: CounterTable, batch_s):
         self._store = store
@@ -28,11 +28,11 @@
         self._tasks = TaskSet()
 
     def stop(self) -> None:
-        """Drop what is being gathered; the askers write by themselves."""
+        """Discard the open batches; the requesters then write by themselves."""
         self._tasks.cancel()
 
     async def handle(self, sender, message: RenewLease) -> LeaseRenewed | Failed:
-        """Answer a renewal once it is in the store."""
+        """Handle a renewal; answer when it is in the store."""
         renewed = await self.renew(message.incarnation, message.counter)
         if renewed.is_ok():
             return LeaseRenewed(message.counter)
@@ -40,23 +40,31 @@
         return Failed(failure.kind.value, failure.detail, failure.retry_after_s)
 
     async def renew(self, incarnation: str, counter: int) -> Result[None, Failure]:
-        """Renew together with what else arrives within the gathering time."""
+        """Renew a lease together with others that arrive within ``batch_s``."""
         seen = self._counters.seen(incarnation)
         if seen is None:
-            return Err(Failure(ErrorKind.NOT_FOUND, f"{incarnation} is not known here"))
+            return Err(
+                Failure(
+                    ErrorKind.NOT_FOUND,
+                    f"no lease of {incarnation} is known to this VM",
+                )
+            )
         if seen.shard not in self._waiting:
             self._waiting[seen.shard] = {}
-            self._tasks.spawn(self._fold(seen.shard))
+            self._tasks.spawn(self._write_batch(seen.shard))
         future = asyncio.get_running_loop().create_future()
         replaced = self._waiting[seen.shard].get(incarnation)
         if replaced is not None:
-            newer = Failure(ErrorKind.VERSION_CONFLICT, "a newer renewal arrived")
+            newer = Failure(
+                ErrorKind.VERSION_CONFLICT,
+                "replaced by a newer renewal of the same lease",
+            )
             _settle(replaced[1], Err(newer))
         self._waiting[seen.shard][incarnation] = (counter, future)
         return await future
 
     async def write(self, shard: str, counters: dict[str, int]) -> Result:
-        """Write renewals at once; the answer is the object as stored."""
+        """Write renewals at once and return the object as stored."""
         written = await self._store.update(
             self._kind, shard, lambda value: with_renewed(value, counters)
         )
@@ -64,7 +72,7 @@
             self._counters.apply(written.ok_value)
         return written
 
-    async def _fold(self, shard: str) -> None:
+    async def _write_batch(self, shard: str) -> None:
         try:
             await self._timers.sleep(self._batch_s)
         finally:
@@ -76,14 +84,21 @@
 
 
 def outcome_of(written: Result, incarnation: str, counter: int) -> Result:
-    """Tell from the object as stored whether one renewal stands in it."""
+    """Return from the object as stored whether it contains one renewal."""
     if written.is_err():
         return written
     counters = counters_of(written.ok_value)
     if incarnation not in counters:
-        return Err(Failure(ErrorKind.STALE_FENCE, f"{incarnation} was ended"))
+        return Err(
+            Failure(ErrorKind.STALE_FENCE, f"the lease of {incarnation} was ended")
+        )
     if counters[incarnation] < counter:
-        return Err(Failure(ErrorKind.VERSION_CONFLICT, "the renewal was not written"))
+        return Err(
+            Failure(
+                ErrorKind.VERSION_CONFLICT,
+                "the store still has an older counter of the lease",
+            )
+        )
     return Ok(None)
 
 
--- a/hawthornlead/ownership/renewal_objects.py
+++ b/hawthornlead/ownership/renewal_objects.py
@@ -1,12 +1,12 @@
-"""The objects of kind ``renewals-DC``: the leases' counters, and nothing else.
+"""The store objects of kind ``renewals-DC``: the counters of the leases.
 
-They change with every renewal, and every VM of the data centre watches them, so
-that they hold only what changes; who the VMs are stands in kind ``leases``::
+They change with every renewal and every VM of the data centre watches them, so they
+hold nothing but the counters. The VMs' registrations are in kind ``leases``::
 
     {"counters": {"vm-1.5f": 12, "vm-2.77": 3}}
 
-A lease that is not here does not exist: it was ended, or not yet entered. An
-incarnation enters before it is registered and never again afterwards.
+A lease that is missing here does not exist: it was ended, or not yet entered. An
+incarnation enters its lease before it registers, and never again afterwards.
 """
 
 from collections.abc import Mapping
@@ -18,17 +18,17 @@
 
 
 def renewal_kind(data_centre: str) -> str:
-    """Name the kind that holds a data centre's counters."""
+    """Return the kind of the objects with a data centre's counters."""
     return f"renewals-{data_centre}"
 
 
 def counters_of(stored: StoredObject) -> dict[str, int]:
-    """Read all counters of one object."""
+    """Return the counters in one object."""
     return stored.value.get("counters", {})
 
 
 def with_entered(value: dict | None, incarnation: str, counter: int) -> dict | None:
-    """Enter a lease, or return None when the object is full."""
+    """Enter a lease, or return None if the object is full."""
     value = value or {"counters": {}}
     counters = value["counters"]
     if incarnation not in counters and len(counters) >= VMS_PER_SHARD:
@@ -38,7 +38,7 @@
 
 
 def with_renewed(value: dict | None, renewed: Mapping[str, int]) -> dict | None:
-    """Raise the counters of leases that exist; one that was ended never renews."""
+    """Raise the counters of leases that exist; an ended lease is not renewed."""
     counters = (value or {}).get("counters", {})
     higher = {
         incarnation: counter
@@ -52,7 +52,7 @@
 def with_removed(
     value: dict | None, incarnation: str, counter: int | None
 ) -> dict | None:
-    """Remove a lease, with ``counter`` only if it still stands there."""
+    """Remove a lease; with a ``counter``, only if the lease still has it."""
     counters = (value or {}).get("counters", {})
     if incarnation not in counters:
         return None
@@ -63,10 +63,10 @@
 
 
 class SeenCounter(NamedTuple):
-    """A lease's counter, the object that holds it, and since when it stands so.
+    """A lease's counter, the object that holds it, and since when it is unchanged.
 
-    "Since when" is by the observer's own clock, from when it saw the counter
-    first, which is never earlier than when the renewal was sent.
+    ``since`` is when this VM first saw the counter, by its own clock. This is never
+    earlier than when the renewal was sent.
     """
 
     counter: int
@@ -83,21 +83,21 @@
         self._versions: dict[str, int] = {}
 
     def seen(self, incarnation: str) -> SeenCounter | None:
-        """What is known of one lease."""
+        """Return the counter of a lease, None if none is known."""
         return self._seen.get(incarnation)
 
     def all(self) -> dict[str, SeenCounter]:
-        """All leases known, by incarnation."""
+        """Return all known leases by incarnation."""
         return dict(self._seen)
 
     def version(self, shard: str) -> int:
-        """The version of the newest object taken in."""
+        """Return the version of an object that was applied last, 0 if none was."""
         return self._versions.get(shard, 0)
 
     def apply(self, stored: StoredObject) -> None:
-        """Take in an object as it was read or written, unless a newer is known.
+        """Apply an object that was read or written, unless a newer one is known.
 
-        The watch and the answers to own writes arrive in any order.
+        The watch's events and the answers to own writes arrive in any order.
         """
         if stored.version <= self.version(stored.name):
             return
--- a/hawthornlead/platform/objects.py
+++ b/hawthornlead/platform/objects.py
@@ -112,8 +112,8 @@
     """Decode an object that another VM encoded; an invalid body makes it unreadable."""
     try:
         spec, status = decode(body)
-        metadata = {"name": name, "revision": revision}
-        return read_record({"metadata": metadata, "spec": spec, "status": status})
+        identity = {"metadata": {"name": name, "revision": revision}}
+        return read_record({**identity, "spec": spec, "status": status})
     except (TypeError, ValueError):
         # The body isn't a pair: the other VM couldn't read the object either.
         return StoredRecord(name, revision, None, None, unreadable=True)
@@ -139,7 +139,7 @@
     except ValueError as error:
         raise ValueError(f"invalid VM registration: {error}") from error
     if vm.vm != record.name:
-        raise ValueError(f"invalid VM registration: {record.name} holds VM {vm.vm}")
+        raise ValueError("invalid VM registration: the object has another VM's name")
     return vm
 
 
--- a/hawthornlead/platform/targets.py
+++ b/hawthornlead/platform/targets.py
@@ -116,7 +116,7 @@
 def _is_draining(body: dict) -> bool:
     state = text(body, "state")
     if state not in (READY, DRAINING):
-        raise ValueError(f"state is unknown: {state}")
+        raise ValueError("state is unknown")
     return state == DRAINING
 
 
