--- a/hawthornlead/engines/allowances.py
+++ b/hawthornlead/engines/allowances.py
@@ -1,21 +1,21 @@
-"""The load allowance of a weight store, shared by all VMs.
+"""The load allowance of a weight store: limits the loads of all VMs together.
 
-The VM that owns ``allowance:WEIGHT_STORE`` hands out leave to load, one ``Permit``
-per load. It keeps to ``LOADS_PER_S`` over any stretch of time and ``LOADS_AT_ONCE``
-at a time. A permit ends when its load is reported to have ended, or when the longest
-load is over.
+The VM that owns ``allowance:WEIGHT_STORE`` is its holder and issues one ``Permit`` per
+load. It keeps to ``LOADS_PER_S`` over any window of time and to ``LOADS_AT_ONCE``
+concurrent loads. A permit ends when its load is reported to have ended, or when the
+longest possible load is over.
 
 **Change of holder.** A new holder does not know its predecessor's permits, so it
-hands out nothing until all of them have ended by time. That costs ``LOAD_S`` without
-loads. Loads under way go on, and so do requests for what is resident.
-
-**Outage.** A holder whose lease lapsed without the store saying so may have a
-successor that it can't hear of, and a holder whose predecessor is not proved to have
-stopped may have such a predecessor. Each of the two gives out half: half of the loads
-at once, rounded down, and half of the rate. Together they keep to the whole. With
-``LOADS_AT_ONCE`` = 1 the half is one load all the same, and two holders can then run
-two at once; so can a third holder that follows two which were each cut off without
-proof that they stopped.
+issues none until all of them have expired. That costs ``LOAD_S`` without new loads.
+Running loads and requests for resident adapters go on.
+
+**Outage.** A holder whose lease lapsed during a store outage may have a successor that
+it cannot learn of. A holder whose predecessor is not proved to have stopped may have
+such a predecessor. Each of the two issues half: half of the concurrent loads, rounded
+down, and half of the rate, so that together they keep to the whole. With
+``LOADS_AT_ONCE`` = 1 the half is still one load, and two holders can run two at once.
+So can a third holder that follows two which were each cut off without proof that they
+stopped.
 """
 
 from typing import NamedTuple
@@ -43,7 +43,10 @@
 
 
 class Permit(NamedTuple):
-    """Leave to start one load until ``start_by``, on the clock of who asked."""
+    """Permission to start one load.
+
+    ``start_by`` and ``ends_at`` are on the requester's clock.
+    """
 
     permit_id: str
     weight_store: str
@@ -59,7 +62,10 @@
 
 
 class LoadAllowance:
-    """The allowance of one weight store, at its holder."""
+    """The allowance of one weight store, at its holder.
+
+    The first permit waits until the predecessor's permits have expired.
+    """
 
     def __init__(
         self,
@@ -96,11 +102,11 @@
 
     @property
     def opens_at(self) -> float:
-        """When the first permit may be given out."""
+        """When the first permit may be issued."""
         return self._opens_at
 
     def stop(self) -> None:
-        """Hand out nothing more."""
+        """Issue no more permits; all that wait are refused."""
         self._stopped = True
         self._wake()
 
@@ -110,7 +116,7 @@
         deadline_at = requested_at + permit_request.wait_s
         expected_s = self.expected_wait_s()
         if expected_s > permit_request.wait_s:
-            return self._refusal("the weight store's loads are spoken for", expected_s)
+            return self._refusal("too many loads wait for the weight store", expected_s)
         waiter = _Waiter(
             LoadRequest(
                 permit_request.adapter,
@@ -129,7 +135,7 @@
                     return Err(failure)
                 now = self._timers.now()
                 if now >= deadline_at:
-                    return self._refusal("no load came free", self.expected_wait_s())
+                    return self._refusal("no permit in time", self.expected_wait_s())
                 pause = self._delay_s()
                 if pause <= 0 and self._next_waiter() is waiter:
                     return Ok(self._issue(now - requested_at))
@@ -140,14 +146,14 @@
             self._wake()
 
     def release(self, permit_id: str, loaded: bool) -> None:
-        """End a permit: its load has ended, well or not."""
+        """End a permit, whether its load succeeded or not."""
         self._pacer.record_end(permit_id, self._timers.now(), loaded)
         if self._ends_at.pop(permit_id, None) is not None:
             self._update_gauge()
             self._wake()
 
     def expected_wait_s(self) -> float:
-        """Estimate how long a new asker would wait, from the queue and the rate."""
+        """Estimate how long a new requester would wait, from the queue and the rate."""
         opening = max(0.0, self._opens_at - self._timers.now())
         return opening + len(self._waiters) / self._rate()
 
@@ -163,7 +169,7 @@
         if self._right() is not OrderRight.FULL:
             return True
         owned = self._owners.owned(allowance_resource(self._weight_store))
-        # A predecessor may be proved to have stopped only later.
+        # Read each time: the proof that a predecessor stopped may come later.
         return owned is None or not owned.predecessor_stopped
 
     def _rate(self) -> float:
@@ -179,14 +185,14 @@
         return (START_TIMEOUT_S + self._settings["LOAD_S"]) * (1 + 2 * error)
 
     def _delay_s(self) -> float:
-        """Return how long until a permit may be given out, by what is known now."""
+        """Return how long until a permit may be issued, by what is known now."""
         self._expire_permits()
         now = self._timers.now()
         pause = self._opens_at - now
         if len(self._ends_at) >= self._max_concurrent():
             pause = max(pause, min(self._ends_at.values()) - now)
-        # At most `loads` starts in any stretch of `span` seconds, which lets
-        # LOADS_AT_ONCE start together after a quiet time and no more than the rate.
+        # At most `loads` starts in any `span` seconds. After an idle time several
+        # loads may start together, without exceeding the rate.
         loads = max(1, int(self._rate()))
         span = loads / self._rate()
         return max(pause, self._pacer.delay_s(loads, span, now))
@@ -228,7 +234,7 @@
 
 
 class Allowances:
-    """Both sides of load allowances on one VM: what it holds and what it asks for."""
+    """Both sides of load allowances on one VM: those it holds, and its requests."""
 
     def __init__(
         self,
@@ -251,17 +257,17 @@
         self._held: dict[str, LoadAllowance] = {}
 
     def start(self) -> None:
-        """Answer for the allowances that this VM comes to own."""
+        """Start to answer requests for the allowances that this VM owns."""
         self._mesh.on(AcquireLoad, self._on_acquire)
         self._mesh.on(ReleaseLoad, self._on_release)
 
     async def stop(self) -> None:
-        """Hand out nothing more."""
+        """Stop holding allowances."""
         for weight_store in list(self._held):
             self.on_lost(allowance_resource(weight_store))
 
     def on_taken(self, ownership) -> None:
-        """Begin to hold an allowance that this VM has come to own."""
+        """Start to hold an allowance that this VM now owns."""
         weight_store = ownership.resource.partition(":")[2]
         self.on_lost(ownership.resource)
         self._held[weight_store] = LoadAllowance(
@@ -276,7 +282,7 @@
         )
 
     def on_lost(self, resource: str) -> None:
-        """End holding an allowance."""
+        """Stop holding an allowance that this VM no longer owns."""
         weight_store = resource.partition(":")[2]
         allowance = self._held.pop(weight_store, None)
         if allowance is None:
@@ -293,15 +299,15 @@
         wait_s: float,
         waiting: int = 1,
     ) -> Result[Permit, Failure]:
-        """Ask the allowance's holder for leave to start one load.
+        """Request a permit for one load from the allowance's holder.
 
-        ``waiting`` counts the requests that wait for it, 0 for a load ahead.
+        ``waiting`` counts the requests that wait for the load, 0 for a prefetch.
         """
         owner = self._owners.owner_of(allowance_resource(weight_store))
         if owner is None:
-            detail = f"nobody hands out loads of {weight_store}"
+            detail = f"the load allowance of {weight_store} has no owner"
             return Err(Failure(ErrorKind.NO_GRANT, detail, retry_after_s=1.0))
-        # The permit's time counts from here, before the holder can have begun it.
+        # Read before the request is sent, so before the holder starts to count.
         sent_at = self._timers.now()
         permit_request = AcquireLoad(
             weight_store, target, key.adapter, key.version, priority, wait_s, waiting
@@ -325,9 +331,9 @@
         )
 
     def release(self, permit: Permit, *, loaded: bool) -> None:
-        """Tell the holder that a permit's load has ended, or never started.
+        """Report to the holder that a permit's load has ended or never started.
 
-        A lost message costs only time: the permit ends by itself.
+        If the message is lost, the permit expires by itself.
         """
         message = ReleaseLoad(permit.weight_store, permit.permit_id, loaded)
         send(self._mesh, permit.holder_vm, message)
--- a/hawthornlead/engines/grant_issuers.py
+++ b/hawthornlead/engines/grant_issuers.py
@@ -1,9 +1,9 @@
-"""Grants as the owner of a target gives, extends and takes them back.
+"""The issuing side of grants, at the owner of a target.
 
-The right to grant is read from the clock right before each grant. What isn't resident
-is loaded first, where that can be done in time::
+The issuer reads from the clock whether it may grant right before each grant. An
+adapter that is not resident is loaded first if that can be done in time::
 
-    reply = await giver.acquire("vm-3", ask)
+    reply = await issuer.acquire("vm-3", request)
 """
 
 from collections.abc import Callable
@@ -33,9 +33,9 @@
 
 
 class GrantIssuer:
-    """Gives the grants of one target.
+    """Issues, renews and takes back the grants of one target.
 
-    ``refusal`` says why nothing is granted now, None if nothing stands against it.
+    ``refusal`` returns why nothing can be granted now, or None.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
     async def acquire(
         self, vm: str, request: AcquireGrant
     ) -> Result[GrantReply, Failure]:
-        """Give ``vm`` a grant, after a load where one is needed and in time."""
+        """Issue a grant to ``vm``, after a load if one is needed and fits in time."""
         key = AdapterVersion(request.adapter, request.version)
         pending = _PendingGrant(
             vm, key, request, self._now(), self._now() + request.wait_s
@@ -92,15 +92,15 @@
             if refusal is not None:
                 return Err(refusal)
             if request.prefetch and self._orders.right() is not OrderRight.FULL:
-                # Nothing is evicted in a store outage, so the free slots are all
-                # there is: spare copies of hot adapters would use them up, and
-                # requests for cold ones be refused till the outage ends.
+                # Nothing is evicted in a store outage. Extra copies of hot adapters
+                # would use up the free slots, and requests for cold adapters would
+                # be refused until the outage ends.
                 return Err(_refuse_prefetch())
             if not self._guard.ready:
                 if not await self._changed.wait(
                     self._timers, pending.deadline_at - self._now()
                 ):
-                    return Err(no_grant("the owner is still learning the target"))
+                    return Err(no_grant("the owner has no report of the target yet"))
                 continue
             slot = self._residency.get(key)
             if slot is not None and slot.grantable:
@@ -111,13 +111,13 @@
                 return outcome
 
     def renew(self, message: RenewGrants) -> RenewedGrants:
-        """Extend grants, as far as this owner may still give any."""
+        """Renew grants if this owner may still grant."""
         right = self._orders.right()
         allowed = right is OrderRight.FULL or (
             right is OrderRight.DEGRADED and self._guard.fence_is_fresh()
         )
         if right is OrderRight.DEGRADED and not allowed:
-            # The next renewal, GRANT_RENEW_S from now, may find it accepted.
+            # The next renewal, GRANT_RENEW_S later, may find the fence accepted.
             self._orders.start_fence()
         if not allowed or not self._guard.ready:
             return RenewedGrants((), 0.0)
@@ -129,13 +129,13 @@
         return RenewedGrants(renewed, self._settings["GRANT_S"])
 
     def release(self, message: ReleaseGrant) -> None:
-        """Take a grant back from its holder."""
+        """Take back a grant that its holder released."""
         self._observe_started(message.grant_id, message.begun)
         self._ledger.release(message.grant_id)
         self._changed.fire()
 
     def _observe_started(self, grant_id: str, started_count: int) -> None:
-        """Count the requests that a holder told of; the first was counted before."""
+        """Count the requests that a holder reported; ``acquire`` counted the first."""
         grant = self._ledger.get(grant_id)
         if grant is not None and started_count > 0:
             self._popularity.observe(grant.key.adapter, self._now(), started_count)
@@ -146,7 +146,7 @@
     async def _grant_resident(
         self, pending: "_PendingGrant"
     ) -> Result[GrantReply | None, Failure]:
-        """Grant what is resident; Ok(None) when it must be looked at again."""
+        """Grant a resident adapter; Ok(None) when the slot must be checked again."""
         if self._orders.right() is OrderRight.FULL or self._guard.fence_is_fresh():
             return Ok(self._grant(pending, 0.0))
         fenced = await self._orders.start_fence()
@@ -158,7 +158,7 @@
     async def _load_and_grant(
         self, pending: "_PendingGrant"
     ) -> Result[GrantReply | None, Failure]:
-        """Load and grant; Ok(None) when the slot must be looked at again."""
+        """Load and grant; Ok(None) when the slot must be checked again."""
         started_at = self._now()
         joined = self._join(pending)
         if isinstance(joined, Err):
@@ -174,8 +174,8 @@
             )
             if isinstance(outcome, Err):
                 return outcome
-            # The target may have begun to leave while its load was waited for: it
-            # is looked at again, or it would get new work long after.
+            # The target may have started to leave during the load. Without this
+            # check it would get new work long after.
             if (
                 load.slot.grantable
                 and not self._leaving
@@ -191,18 +191,18 @@
                 self._changed.fire()
 
     def _join(self, pending: "_PendingGrant") -> Result[Load, Failure]:
-        """Join the load, or refuse at once what can't be made in time."""
+        """Join the load, or refuse at once if it cannot be done in time."""
         now = self._now()
         key, request, deadline_at = pending.key, pending.request, pending.deadline_at
         if not request.load:
             return Err(Failure(ErrorKind.NO_SLOT, "not resident", retry_after_s=1.0))
         retry_in = self._queue.retry_in(key, now)
         if retry_in > 0:
-            detail = f"loading {key.adapter} {key.version} failed lately"
+            detail = f"loading {key.adapter} {key.version} failed recently"
             return Err(Failure(ErrorKind.LOAD_FAILED, detail, retry_after_s=retry_in))
         estimate = self._loader.estimate_s(key)
         if now + estimate > deadline_at:
-            detail = "a load can't be made in time"
+            detail = "the load would not end before the deadline"
             return Err(Failure(ErrorKind.NO_SLOT, detail, retry_after_s=estimate))
         if request.slot_wait_s <= 0 and not self._loader.accepts(key):
             return no_free_slot()
@@ -218,7 +218,7 @@
         return Ok(load)
 
     def _grant(self, pending: "_PendingGrant", loaded_s: float) -> GrantReply:
-        """Give a grant; called with nothing awaited since the right was read."""
+        """Issue a grant; call it with nothing awaited since the right was read."""
         count = max(1, min(pending.request.count, self._settings["GRANT_SIZE"]))
         grant = self._ledger.issue(pending.vm, pending.key, count)
         self._invariants.check(
@@ -229,13 +229,16 @@
             self._orders.right() is not OrderRight.NONE,
             f"grant {grant.grant_id} on {self._target}",
         )
-        # The holder counts from its asking, so the wait here is added.
+        # The holder counts from when it sent the request, so the wait here is added.
         ttl_s = self._now() - pending.requested_at + self._settings["GRANT_S"]
         return GrantReply(grant.grant_id, self._ledger.fence, count, ttl_s, loaded_s)
 
 
 class _PendingGrant(NamedTuple):
-    """One VM's asking for a grant."""
+    """A VM's request for a grant.
+
+    ``requested_at`` and ``deadline_at`` are on the owner's clock.
+    """
 
     vm: str
     key: AdapterVersion
@@ -250,5 +253,5 @@
 
 
 def no_grant(detail: str) -> Failure:
-    """Refuse for want of the right to grant; another owner may have it soon."""
+    """Return the failure when the owner may not grant; another owner soon may."""
     return Failure(ErrorKind.NO_GRANT, detail, retry_after_s=1.0)
--- a/hawthornlead/engines/grant_ledgers.py
+++ b/hawthornlead/engines/grant_ledgers.py
@@ -1,8 +1,8 @@
-"""The owner's book of the grants that it has given out on one target.
+"""The owner's record of the grants that it has issued on one target.
 
-An adapter may be evicted only when ``idle`` says so: every grant on it was given
-back, or ran out and a report taken later than that shows none running. Grants of an
-earlier owner are unknown; they count as one grant on every adapter.
+An adapter may be evicted only when ``idle`` says so: every grant on it was released,
+or it expired and a later report shows no request running. Grants of an earlier owner
+are unknown and count as one grant on every adapter.
 """
 
 import random
@@ -12,8 +12,8 @@
 from .engine_clocks import EngineClock
 from .targets import Report
 
-# A request that began in the last moment of its grant is on the way to the target
-# for this long at most; a report must be later than that to prove that none runs.
+# A request that starts at the end of its grant takes at most this long to reach the
+# target. Only a later report proves that no request runs.
 MAX_SEND_S = 1.0
 
 
@@ -25,7 +25,10 @@
 
 
 class HeldGrant(NamedTuple):
-    """A grant that a VM holds; ``ends_at`` is on the owner's clock, rate included."""
+    """A grant that a VM holds.
+
+    ``ends_at`` is on the owner's clock and includes the error of the clocks' rates.
+    """
 
     grant_id: str
     vm: str
@@ -36,7 +39,7 @@
 
 
 class GrantLedger:
-    """Grants given out on one target."""
+    """The grants issued on one target."""
 
     def __init__(
         self,
@@ -53,16 +56,16 @@
         self._clock = clock
         self._fence = fence
         self._held: dict[str, HeldGrant] = {}
-        # Ran out, and no report has proved yet that nothing runs under them.
+        # Expired, and no report has proved yet that no request runs under them.
         self._expired: dict[str, HeldGrant] = {}
-        # Earlier owners' grants: the moment by which all have run out, and the
+        # Earlier owners' grants: the moment by which all have expired, and the
         # adapters that a report after it showed running. None: not known yet.
         self._unknown_end_at: float | None = None
         self._unknown_running: set[AdapterVersion] | None = set()
 
     @property
     def fence(self) -> int:
-        """The fencing number under which the grants are given."""
+        """The fencing number under which the grants are issued."""
         return self._fence
 
     @property
@@ -72,7 +75,10 @@
 
     @property
     def proof_required_after(self) -> float | None:
-        """The latest moment after which a report would settle something, or None."""
+        """The latest past moment that a report must follow to prove something.
+
+        None if no proof is required now.
+        """
         moments = [self._arrived_by(grant) for grant in self._expired.values()]
         if self._unknown_end_at is not None and self._unknown_running != set():
             moments.append(self._unknown_end_at)
@@ -80,31 +86,31 @@
         return max(past, default=None)
 
     def max_lifetime_s(self) -> float:
-        """How long a grant can be used by the clock of a VM, seen by the owner's.
+        """Return how long a VM may use a grant, measured by the owner's clock.
 
-        Both clocks may be wrong in rate, one fast and one slow.
+        Both clocks may have a rate error, one fast and one slow.
         """
         error = self._settings["CLOCK_RATE_ERROR"]
         return self._settings["GRANT_S"] * (1 + 2 * error)
 
     def max_send_s(self) -> float:
-        """How long a request is under way from the check of its grant, at most."""
+        """Return the longest time from a grant's check to the request's arrival."""
         return MAX_SEND_S * (1 + 2 * self._settings["CLOCK_RATE_ERROR"])
 
     def assume_unknown_until(self, moment: float | None) -> None:
-        """Count unknown grants of earlier owners that run out at ``moment``.
+        """Assume that earlier owners issued grants that expire at ``moment``.
 
-        ``None``: they may still be given out, so nothing is idle.
+        ``None``: they may still issue grants, so nothing is idle.
         """
         if moment is not None and self._unknown_end_at is not None:
-            # GRA-11: of several moments the latest counts. An earlier one would let
-            # a report pass as proof while grants from before the later one are out.
+            # GRA-11: the latest of several moments counts. With an earlier one a
+            # report would pass as proof while grants are still outstanding.
             moment = max(moment, self._unknown_end_at)
         self._unknown_end_at = moment
         self._unknown_running = None
 
     def issue(self, vm: str, key: AdapterVersion, count: int) -> HeldGrant:
-        """Enter a grant that starts now."""
+        """Record and return a grant that starts now."""
         grant_id = f"{self._fence}-{self._rng.getrandbits(64):016x}"
         ends_at = self._timers.now() + self.max_lifetime_s()
         grant = HeldGrant(grant_id, vm, key, count, ends_at)
@@ -112,7 +118,7 @@
         return grant
 
     def renew(self, grant_ids) -> tuple[str, ...]:
-        """Extend grants from now on; return those that had not run out."""
+        """Extend grants from now on; return those that had not expired."""
         self.sweep()
         ends_at = self._timers.now() + self.max_lifetime_s()
         renewed = []
@@ -124,16 +130,16 @@
         return tuple(renewed)
 
     def get(self, grant_id: str) -> HeldGrant | None:
-        """Return a grant that was not given back, or None."""
+        """Return a grant that was not released, or None."""
         return self._held.get(grant_id) or self._expired.get(grant_id)
 
     def release(self, grant_id: str) -> None:
-        """Strike a grant: its holder said that nothing runs under it or will."""
+        """Remove a grant whose holder runs nothing under it and never will."""
         self._held.pop(grant_id, None)
         self._expired.pop(grant_id, None)
 
     def revoke(self, key: AdapterVersion) -> list[HeldGrant]:
-        """Mark the grants on an adapter as asked back; return those newly marked."""
+        """Mark the grants on an adapter as revoked; return those newly marked."""
         newly_revoked = []
         for grant in self._held.values():
             if grant.key != key or grant.revoked:
@@ -144,14 +150,14 @@
         return newly_revoked
 
     def revoke_all(self) -> list[HeldGrant]:
-        """Mark all grants as asked back; return those newly marked."""
+        """Mark all grants as revoked; return those newly marked."""
         newly_revoked = []
         for key in {grant.key for grant in self._held.values()}:
             newly_revoked += self.revoke(key)
         return newly_revoked
 
     def sweep(self) -> None:
-        """Move grants whose time is over to those that want a proof."""
+        """Move expired grants to those that require a proof."""
         now = self._timers.now()
         for grant in list(self._held.values()):
             if now < grant.ends_at:
@@ -160,10 +166,10 @@
             self._expired[grant.grant_id] = grant
 
     def observe(self, report: Report) -> None:
-        """Strike what a report proves not to run.
+        """Remove expired grants under which a report proves that nothing runs.
 
-        A request may wait inside the engine, and the report does not tell of which
-        adapter; so a report with a queue proves nothing.
+        A request may wait inside the engine, and the report does not say for which
+        adapter. So a report with a queue proves nothing.
         """
         self.sweep()
         if report.queued > 0:
@@ -175,15 +181,15 @@
         for grant in list(self._expired.values()):
             if grant.key in running:
                 continue
-            # GRA-5: a request that was sent in the grant's last moment is on its way
-            # for MAX_SEND_S. A report from before that shows nothing running, and the
-            # eviction would meet the request as it arrives.
+            # GRA-5: a request sent at the end of the grant is under way for up to
+            # MAX_SEND_S. An earlier report shows nothing running, and the eviction
+            # would hit the request as it arrives.
             if self._clock.proves_after(report.as_of, self._arrived_by(grant)):
                 del self._expired[grant.grant_id]
         self._observe_unknown(report, running)
 
     def idle(self, key: AdapterVersion) -> bool:
-        """Whether nothing runs on the adapter and nobody may start anything."""
+        """Whether nothing runs on the adapter and no grant lets a request start."""
         self.sweep()
         if self._unknown_running is None or key in self._unknown_running:
             return False
@@ -192,7 +198,7 @@
         return all(grant.key != key for grant in self._expired.values())
 
     def _arrived_by(self, grant: HeldGrant) -> float:
-        """When the last request under a grant that ran out has arrived."""
+        """Return when the last request under an expired grant has arrived."""
         return grant.ends_at + self.max_send_s()
 
     def _observe_unknown(self, report: Report, running: set[AdapterVersion]) -> None:
--- a/hawthornlead/engines/grants.py
+++ b/hawthornlead/engines/grants.py
@@ -1,6 +1,6 @@
-"""The grants that this VM holds: its right to run requests on targets.
+"""The holding side of grants: this VM's right to run requests on targets.
 
-A request needs a grant of its target's owner for its adapter version. Grants are
+A request needs a grant from its target's owner for its adapter version. Grants are
 kept and shared, so that most requests need no round trip::
 
     granted = await grants.acquire("engine-3", assignment, wait_s=2.0)
@@ -9,12 +9,12 @@
         ...                                     # send, relay the answer
         grant.finish(attempt_id, ended=True)    # the target is known to be done
 
-A grant's time counts from the moment its asking was *sent*, by the monotonic clock,
-shortened by the error that two clocks' rates may have. So it is over here before it
-is over at the owner, however long the reply took.
+A grant's time counts from the moment its request was *sent*, by the monotonic clock,
+shortened by the rate error that two clocks may have. So it expires here before it
+expires at the owner, however long the reply took.
 
-A request that runs longer than its grant goes on: the owner does not evict before a
-report shows that nothing runs, so a stream survives the loss of an owner.
+A request may run longer than its grant. The owner does not evict before a report shows
+that nothing runs, so a stream survives the loss of an owner.
 """
 
 import asyncio
@@ -52,7 +52,7 @@
 
 
 class _RequestKey(NamedTuple):
-    """What requests must have in common to share an asking."""
+    """What callers must have in common to share a request to the owner."""
 
     key: GrantKey
     load: bool
@@ -69,14 +69,15 @@
         self.owner_vm = owner_vm
         self.ends_at = ends_at
         self.running: set[str] = set()
-        # Handed out and not begun. Weak: a request that fails before its attempt
-        # drops its ``Grant``, and its place is free again.
+        # Acquired and not started. Weak: a request that fails before its attempt
+        # drops its ``Grant``, which frees its place.
         self.reserved: weakref.WeakSet[Grant] = weakref.WeakSet()
         self.used_at = -math.inf
-        # Requests begun since the owner was last told; it counts the first itself.
+        # Requests started since the last report to the owner, which itself counts
+        # the first one.
         self.started = -1
         self.revoked = False
-        # A request under it may still run though its attempt is over.
+        # A request may still run under it although its attempt has ended.
         self.suspect = False
 
     @property
@@ -103,38 +104,39 @@
 
     @property
     def grant_id(self) -> str:
-        """The owner's name of the grant."""
+        """The grant's id at the owner."""
         return self._held.reply.grant_id
 
     @property
     def fence(self) -> int:
-        """The fencing number of the owner that gave it."""
+        """The fencing number of the owner that issued it."""
         return self._held.reply.fence
 
     @property
     def ends_at(self) -> float:
-        """When it runs out, by this VM's clock; later after each renewal."""
+        """When it expires by this VM's clock; each renewal extends it."""
         return self._held.ends_at
 
     @property
     def lost_at(self) -> float:
-        """When a running attempt must be broken off: never.
+        """When a running attempt must be aborted: never.
 
-        A grant that ran out lets nothing begin, but the owner, and any successor,
-        evicts only after a report that shows nothing running on the adapter.
+        No attempt may start under an expired grant. A running one goes on, since the
+        owner and any successor evict only after a report that shows nothing running
+        on the adapter.
         """
         return math.inf
 
     @property
     def loaded_s(self) -> float:
-        """How long the owner loaded for this request, in seconds."""
+        """How long this request waited for its load, in seconds."""
         return self._loaded_s
 
     def start(self, attempt_id: str) -> Result[None, Failure]:
         """Start an attempt; call it right before the bytes are sent.
 
-        Refused when the grant has run out: the process may have been frozen since
-        it was acquired, and the adapter evicted meanwhile.
+        Refused when the grant has expired: the process may have been frozen since
+        it acquired the grant, and the adapter may have been evicted meanwhile.
         """
         return self._grants.start_attempt(self, self._held, attempt_id)
 
@@ -142,8 +144,8 @@
         """End an attempt.
 
         ``ended`` says that the target is known to be done with it: it answered to
-        the end, refused, or was never reached. Else the grant is not given back but
-        left to run out, so that the adapter stays until a report shows it idle.
+        the end, refused, or was never reached. Otherwise the grant is not released
+        but left to expire, so that the adapter stays until a report shows it idle.
         """
         self._grants.finish_attempt(self, self._held, attempt_id, ended)
 
@@ -172,14 +174,14 @@
         self._timer = None
 
     def start(self) -> None:
-        """Renew and give back from now on."""
+        """Start to renew grants in use and to release idle ones."""
         self._mesh.on(RevokeGrant, self._on_revoke)
         self._timer = self._timers.every(
             self._settings["GRANT_RENEW_S"], self.renew, name="grants"
         )
 
     async def stop(self) -> None:
-        """Give back all grants under which nothing runs."""
+        """Release all grants under which nothing runs."""
         if self._timer is not None:
             self._timer.cancel()
         for held in list(self._held.values()):
@@ -196,9 +198,9 @@
         prefetch: bool = False,
         slot_wait_s: float = 3600.0,
     ) -> Result[Grant, Failure]:
-        """Get a place under a grant, from those held or from the target's owner.
+        """Get a place under a held grant or under one from the target's owner.
 
-        Requests that ask for the same at once share one asking. ``prefetch`` and
+        Concurrent callers that need the same share one request. ``prefetch`` and
         ``slot_wait_s`` (seconds) are those of ``AcquireGrant``.
         """
         key = GrantKey(target, AdapterVersion(assignment.adapter, assignment.version))
@@ -235,10 +237,10 @@
         """See ``Grant.start``."""
         held.reserved.discard(grant)
         now = self._timers.now()
-        # GRA-2: read right before the send. GRA-10: one that was given back is over,
-        # whatever a late reply says of its time.
+        # GRA-2: the clock is read right before the send. GRA-10: a released grant is
+        # over, whatever a late reply says of its time.
         if now >= held.ends_at or self._held.get(held.reply.grant_id) is not held:
-            return Err(_no_grant("the grant ran out before the request was sent"))
+            return Err(_no_grant("the grant expired before the request was sent"))
         held.running.add(attempt_id)
         held.used_at = now
         held.started += 1
@@ -256,15 +258,15 @@
         held.reserved.discard(grant)
         if attempt_id in held.running:
             held.running.discard(attempt_id)
-            # GRA-6: a request whose end was not seen may still run. Given back as
-            # idle, the grant would let the owner evict under it; it runs out instead,
-            # and the owner wants a report that shows the adapter idle.
+            # GRA-6: a request whose end was not seen may still run. If its grant were
+            # released as idle, the owner could evict under it. The grant expires
+            # instead, and the owner waits for a report that shows the adapter idle.
             held.suspect = held.suspect or not ended
         if held.revoked:
             self._release_if_idle(held)
 
     async def renew(self) -> None:
-        """Renew what is in use, give back what is idle, drop what ran out."""
+        """Renew grants in use, release idle ones, discard expired ones."""
         now = self._timers.now()
         for grant_id, at in list(self._revoked_early.items()):
             if now - at > self._settings["GRANT_S"]:
@@ -294,8 +296,8 @@
             if isinstance(reply, Ok):
                 renewed, ttl_s = reply.ok_value
         for held in in_use:
-            # GRA-10: it was given back while the reply was under way. Extended now,
-            # a request could begin under it though the owner counts it as returned.
+            # GRA-10: it was released while the reply was under way. If extended now, a
+            # request could start under it although the owner counts it as released.
             if self._held.get(held.reply.grant_id) is not held:
                 continue
             if held.reply.grant_id in renewed:
@@ -311,7 +313,7 @@
             )
 
     def _usable(self, key: GrantKey) -> _HeldGrant | None:
-        """Return the held grant with room that ends last, or None."""
+        """Return the held grant with a free place that expires last, or None."""
         soonest = self._timers.now() + MIN_REMAINING_S
         best = None
         for held in self._by_key.get(key, ()):
@@ -322,8 +324,8 @@
         return best
 
     def _request(self, key: GrantKey, request: AcquireGrant) -> asyncio.Task:
-        # Only askings that are answered alike are shared: a request must not get
-        # the refusal of one that looked further sooner, or of a load ahead.
+        # Only requests with the same answer are shared: a request must not get the
+        # refusal of one that waits less long for a slot, or of a prefetch.
         kind = _RequestKey(key, request.load, request.prefetch, request.slot_wait_s)
         call = self._pending_requests.get(kind)
         if call is not None and not call.done():
@@ -346,7 +348,7 @@
         owner = self._owners.owner_of(target_resource(key.target))
         if owner is None:
             return Err(_no_grant(f"{key.target} has no owner"))
-        # Read before the asking leaves: the owner cannot have begun to count yet.
+        # Read before the request is sent, so before the owner starts to count.
         sent_at = self._timers.now()
         timeout_s = request.wait_s + self._settings["PEER_CALL_S"]
         reply = await self._mesh.call(owner.vm, request, timeout_s=timeout_s)
@@ -356,7 +358,7 @@
         held = _HeldGrant(
             key, grant, owner.vm, sent_at + self._minus_clock_error(grant.ttl_s)
         )
-        # A revocation may overtake the grant that it is about.
+        # A revocation may arrive before the grant that it is for.
         held.revoked = self._revoked_early.pop(grant.grant_id, None) is not None
         held.used_at = self._timers.now()
         self._held[grant.grant_id] = held
@@ -378,7 +380,7 @@
         return Done()
 
     def _release_if_idle(self, held: _HeldGrant) -> None:
-        """Give a grant back, unless something may run or begin under it."""
+        """Release a grant unless a request runs, may run or may start under it."""
         if held.busy or held.suspect:
             return
         self._discard(held)
--- a/hawthornlead/engines/load_permits.py
+++ b/hawthornlead/engines/load_permits.py
@@ -1,4 +1,4 @@
-"""Permits to load, asked of the weight store's allowance for one target's loads."""
+"""Acquires permits from the weight store's allowance for one target's loads."""
 
 from result import Err, Ok, Result
 
@@ -7,15 +7,15 @@
 from .allowances import Allowances, Permit
 from .load_queues import Load
 
-# How long a load that no request waits for asks for a permit. Short, so that a request
-# that joins it meanwhile soon asks with its own weight.
+# How long a prefetch waits for a permit. Short, so that a request that joins it
+# meanwhile soon requests the permit again with its own priority and deadline.
 PREFETCH_TIMEOUT_S = 0.5
-# For how long the wait for a permit counts in what a new load is expected to take.
+# How long the last wait for a permit counts as the expected wait of a new load.
 WAIT_MAX_AGE_S = 2.0
 
 
 class LoadPermits:
-    """Asks for permits, and remembers how long they took lately."""
+    """Acquires permits and measures how long that takes."""
 
     def __init__(
         self,
@@ -34,13 +34,13 @@
 
     @property
     def expected_s(self) -> float:
-        """How long a new load would wait for its permit, 0 if none was given lately."""
+        """How long a new load would wait for its permit; 0 without a recent permit."""
         if self._timers.now() - self._issued_at >= WAIT_MAX_AGE_S:
             return 0.0
         return self._wait_s
 
     async def acquire(self, load: Load) -> Result[Permit, Failure] | None:
-        """Ask for a permit; None when requests came to a load ahead meanwhile."""
+        """Acquire a permit; None if requests joined a prefetch meanwhile."""
         requested_at = self._timers.now()
         left = load.deadline_at - requested_at
         prefetch = load.requests == 0
--- a/hawthornlead/engines/load_queues.py
+++ b/hawthornlead/engines/load_queues.py
@@ -1,4 +1,4 @@
-"""Loads that wait for a slot of one target: one load for many waiting requests."""
+"""The queue of loads of one target: one load for all requests that wait for it."""
 
 import asyncio
 import math
@@ -16,18 +16,18 @@
 
 
 class Load:
-    """One load that is wanted; ``outcome`` holds its Result when it is over."""
+    """One queued load; ``outcome`` holds its Result when it has ended."""
 
     def __init__(self, key: AdapterVersion, base_model: str, asked_at: float):
         self.key = key
         self.base_model = base_model
         self.requested_at = asked_at
         self.priority = 0
-        # The first of the waiting requests to be late, and the last.
+        # The earliest deadline of the waiting requests, and the latest of all waiters.
         self.due_at = math.inf
         self.deadline_at = asked_at
         self.waiting = 0
-        # How many of those who wait only load ahead: no request stands behind them.
+        # How many of the waiters only prefetch, with no request behind them.
         self.prefetching = 0
         # The slot that it was loaded into, once it was.
         self.slot: Slot | None = None
@@ -38,11 +38,11 @@
 
     @property
     def requests(self) -> int:
-        """How many requests wait for it, leaving out those who load ahead."""
+        """How many requests wait for it, without prefetches."""
         return self.waiting - self.prefetching
 
     def request(self) -> LoadRequest:
-        """Return what a load order sorts."""
+        """Return what the load order sorts by."""
         return LoadRequest(
             self.key.adapter,
             self.key.version,
@@ -53,13 +53,13 @@
         )
 
     def finish(self, outcome: Result[None, Failure]) -> None:
-        """Tell all who wait."""
+        """Give the outcome to all that wait, unless the load has ended before."""
         if not self.outcome.done():
             self.outcome.set_result(outcome)
 
 
 class LoadQueue:
-    """Wanted loads of one target, and loads that failed lately."""
+    """The queued loads of one target, and the backoff of failed ones."""
 
     def __init__(self, order: LoadOrder):
         self._order = order
@@ -79,7 +79,7 @@
         now: float,
         prefetch: bool = False,
     ) -> Load:
-        """Return the load of an adapter version, wanted from now on if it was not."""
+        """Join the load of an adapter version, queued now if it was not."""
         load = self._loads.get(key)
         if load is None:
             load = self._loads[key] = Load(key, base_model, now)
@@ -92,17 +92,17 @@
         return load
 
     def leave(self, load: Load, prefetch: bool = False) -> bool:
-        """One request less waits; return whether the load is wanted by none."""
+        """Take one waiter off a load; return whether none waits any more."""
         load.waiting -= 1
         load.prefetching -= prefetch
         return load.waiting == 0
 
     def contains(self, key: AdapterVersion) -> bool:
-        """Whether a load of the adapter version is wanted."""
+        """Whether a load of the adapter version is queued."""
         return key in self._loads
 
     def residents(self) -> tuple[Resident, ...]:
-        """Return the loads that requests wait for, as owners tell them."""
+        """Return the loads that requests wait for, as owners announce them."""
         return tuple(
             Resident(load.key.adapter, load.key.version, 0, True)
             for load in self.loads()
@@ -110,16 +110,16 @@
         )
 
     def remove(self, load: Load) -> None:
-        """Take a load that is over out of the queue."""
+        """Remove a load that has ended."""
         if self._loads.get(load.key) is load:
             del self._loads[load.key]
 
     def loads(self) -> list[Load]:
-        """Return the wanted loads, in the load order."""
+        """Return the queued loads in the load order."""
         return sorted(self._loads.values(), key=self._sort_key)
 
     def ahead_of(self, key: AdapterVersion) -> int:
-        """Return how many loads go before the one of ``key``, or all if none."""
+        """Return how many loads go before the one of ``key``, or all if it has none."""
         ahead = 0
         for load in self.loads():
             if load.key == key:
@@ -128,22 +128,22 @@
         return ahead
 
     def record_failure(self, key: AdapterVersion, now: float) -> None:
-        """Remember a failed load: the next try waits, longer after each failure.
+        """Delay the next try of a load, longer after each failure.
 
-        Without it, every request for an adapter whose weights are broken would use
-        up a share of the weight store's rate.
+        Otherwise every request for an adapter with broken weights would use up one
+        load of the weight store's rate.
         """
         failures = self._failures.get(key, 0)
         self._failures[key] = failures + 1
         self._retry_at[key] = now + min(FIRST_BACKOFF_S * 2**failures, MAX_BACKOFF_S)
 
     def record_success(self, key: AdapterVersion) -> None:
-        """Forget earlier failures."""
+        """Clear the failures of an adapter version."""
         self._failures.pop(key, None)
         self._retry_at.pop(key, None)
 
     def retry_in(self, key: AdapterVersion, now: float) -> float:
-        """Return how many seconds a failed load must still wait, 0 if none."""
+        """Return how many seconds a failed load must still wait; 0 if it may start."""
         return max(0.0, self._retry_at.get(key, now) - now)
 
     def _sort_key(self, load: Load) -> tuple:
--- a/hawthornlead/engines/load_waits.py
+++ b/hawthornlead/engines/load_waits.py
@@ -1,4 +1,4 @@
-"""How long a request waits for a load at a target whose slots are all in use."""
+"""Waits for a load, but only briefly while all slots of the target are in use."""
 
 from result import Err, Result
 
@@ -8,12 +8,12 @@
 from .load_queues import Load
 from .loaders import Loader
 
-# How long a load without a slot is waited for before it is looked at again.
+# How often a waiting request checks whether its load can get a slot.
 CHECK_INTERVAL_S = 0.5
 
 
 def no_free_slot() -> Err[Failure]:
-    """Refuse for want of a slot, which another target may have."""
+    """Return the failure when no slot is free here; another target may have one."""
     failure = Failure(
         ErrorKind.NO_SLOT, "all slots are in use", retry_after_s=CHECK_INTERVAL_S
     )
@@ -21,23 +21,27 @@
 
 
 async def wait_for_load(
-    timers: TimerService, loader: Loader, load: Load, until: float, slot_wait_s: float
+    timers: TimerService,
+    loader: Loader,
+    load: Load,
+    deadline_at: float,
+    slot_wait_s: float,
 ) -> Result[None, Failure]:
-    """Wait for a load until ``until``, but ``slot_wait_s`` at most without a slot.
+    """Wait for a load until ``deadline_at``, at most ``slot_wait_s`` without a slot.
 
-    A slot may come and go while the load waits for its leave, so that the time
-    without one counts anew from each look that finds one.
+    A slot may come and go while the load waits for its permit. So the time without a
+    slot counts again from each check that finds one.
     """
-    room_until = timers.now() + max(CHECK_INTERVAL_S, slot_wait_s)
+    give_up_at = timers.now() + max(CHECK_INTERVAL_S, slot_wait_s)
     while True:
-        pause = min(until - timers.now(), CHECK_INTERVAL_S)
-        if await wait_done(timers, load.outcome, pause):
+        pause_s = min(deadline_at - timers.now(), CHECK_INTERVAL_S)
+        if await wait_done(timers, load.outcome, pause_s):
             return load.outcome.result()
         now = timers.now()
-        if now >= until:
+        if now >= deadline_at:
             detail = "the load was not made in time"
             return Err(Failure(ErrorKind.NO_SLOT, detail, retry_after_s=1.0))
         if loader.can_load(load.key):
-            room_until = max(room_until, now + CHECK_INTERVAL_S)
-        elif now >= room_until:
+            give_up_at = max(give_up_at, now + CHECK_INTERVAL_S)
+        elif now >= give_up_at:
             return no_free_slot()
--- a/hawthornlead/engines/loaders.py
+++ b/hawthornlead/engines/loaders.py
@@ -1,9 +1,8 @@
-"""Loads and evictions of one target, ordered by its owner.
+"""Loads adapters into one target's slots, on behalf of its owner.
 
-A load runs in one task from the wish to its end: see that there is room (or ask
-grants back to make some), get a permit from the weight store's allowance, evict if
-needed, load. Nothing is taken from the requests of a resident adapter while the
-load still waits for its permit.
+Each load runs in one task: check that a slot can be had (or revoke grants to free
+one), get a permit from the weight store's allowance, evict if needed, load. A resident
+adapter is not evicted while the load still waits for its permit.
 """
 
 import asyncio
@@ -26,16 +25,18 @@
 from .slot_reclaimers import SlotReclaimer
 from .targets import OrderReply
 
-# How often a load looks for room anew after it lost it while it had a permit.
+# How often a load tries to get a slot. It tries again after another load took the
+# slot while it waited for its permit.
 MAX_SLOT_TRIES = 3
-# How long nothing is loaded after the target said that it has no free slot.
+# How long nothing is loaded after the target answered that it has no free slot.
 FULL_BACKOFF_S = 0.5
 # Weight of the newest load in the running mean of how long loads take.
 MEAN_WEIGHT = 0.2
 
-# How often a load that waits looks whether its owner still has its full right.
+# How often a waiting load checks whether the owner still has its full right.
 RIGHT_CHECK_INTERVAL_S = 1.0
-# When to come back for a slot in a store outage: one lasts longer than a moment.
+# When a caller may retry for a slot in a store outage, which lasts longer than the
+# usual wait for a slot.
 OUTAGE_RETRY_S = 15.0
 
 
@@ -72,9 +73,9 @@
         )
         self._changed = changed
         self._running: set[Load] = set()
-        # Loads that saw room and wait for a permit.
+        # Loads that found a slot and wait for a permit.
         self._awaiting_permit: set[Load] = set()
-        # Permits of loads whose end is not known; they end by time or restart.
+        # Permits of loads whose outcome is unknown; they expire or end at a restart.
         self._unsettled_permits: list[Permit] = []
         self._stopped = False
         self._mean_s = core.settings["LOADS_AT_ONCE"] / core.settings["LOADS_PER_S"]
@@ -85,15 +86,18 @@
         return turns * self._mean_s + self._load_permits.expected_s
 
     def can_load(self, key: AdapterVersion, loads_before: int = 0) -> bool:
-        """Whether ``key`` has a slot, or may soon have one after other loads."""
+        """Whether ``key`` has a slot, or may soon have one after other loads.
+
+        ``loads_before`` is the number of those other loads.
+        """
         return self._reclaimer.could_hold(key, loads_before)
 
     def accepts(self, key: AdapterVersion) -> bool:
-        """Whether a load of ``key`` is wanted, or has a slot beside those that are."""
+        """Whether a load of ``key`` is queued, or could get a slot after the queue."""
         return self._queue.contains(key) or self.can_load(key, len(self._queue))
 
     def start_loads(self) -> None:
-        """Start wanted loads in their order, as many at once as may be."""
+        """Start queued loads in their order, ``LOADS_AT_ONCE`` at a time."""
         if self._stopped:
             return
         for load in self._queue.loads():
@@ -105,7 +109,7 @@
             load.task = asyncio.get_running_loop().create_task(self._run(load))
 
     async def stop(self) -> None:
-        """End all loads; their requests are told that the owner changed."""
+        """End all loads; their requests fail because the owner changed."""
         self._stopped = True
         tasks = [load.task for load in self._running if load.task is not None]
         for load in self._queue.loads():
@@ -115,17 +119,17 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def on_restart(self) -> None:
-        """The target restarted: no load runs there any more."""
+        """Release the permits of loads that the target's restart has ended."""
         for permit in self._unsettled_permits:
             self._allowances.release(permit, loaded=False)
         self._unsettled_permits.clear()
 
     async def _run(self, load: Load) -> None:
-        outcome = Err(Failure(ErrorKind.NO_GRANT, "the load was given up"))
+        outcome = Err(Failure(ErrorKind.NO_GRANT, "the load was abandoned"))
         try:
             outcome = await self._attempt(load)
         except Exception:
-            # A bug in one load must not leave its requests waiting, nor its place.
+            # A bug in one load must not leave its requests waiting or block the queue.
             logger.exception("load at {} failed", self._target)
         finally:
             self._awaiting_permit.discard(load)
@@ -139,27 +143,27 @@
 
     async def _attempt(self, load: Load) -> Result[None, Failure]:
         for _ in range(MAX_SLOT_TRIES):
-            seen = await self._wait_for_room(load)
-            if isinstance(seen, Err) or seen.ok_value:
-                return seen if isinstance(seen, Err) else Ok(None)
+            available = await self._wait_for_slot(load)
+            if isinstance(available, Err) or available.ok_value:
+                return available if isinstance(available, Err) else Ok(None)
             self._awaiting_permit.add(load)
             if load.requests > 0:
                 await self._reclaimer.drain_best()
-            asked = await self._load_permits.acquire(load)
+            acquired = await self._load_permits.acquire(load)
             self._awaiting_permit.discard(load)
-            if asked is None:
+            if acquired is None:
                 continue
-            if isinstance(asked, Err):
-                return asked
-            permit = asked.ok_value
-            wanted = self._residency.get(load.key) is None and self._orders.ready
-            if wanted and await self._reclaimer.free_slot():
+            if isinstance(acquired, Err):
+                return acquired
+            permit = acquired.ok_value
+            needed = self._residency.get(load.key) is None and self._orders.ready
+            if needed and await self._reclaimer.free_slot():
                 return await self._load(load, permit)
             self._allowances.release(permit, loaded=False)
         return self._no_slot("no slot became free")
 
-    async def _wait_for_room(self, load: Load) -> Result[bool, Failure]:
-        """Wait until there is room; Ok(True) when the adapter is resident already."""
+    async def _wait_for_slot(self, load: Load) -> Result[bool, Failure]:
+        """Wait until a slot can be had; Ok(True) if the adapter is resident already."""
         began = self._timers.now()
         while True:
             left = load.deadline_at - self._timers.now()
@@ -174,13 +178,13 @@
                 if self._reclaimer.has_capacity_for(len(self._awaiting_permit)):
                     return Ok(False)
                 if load.requests == 0:
-                    return self._no_slot("no slot is free for a load ahead")
+                    return self._no_slot("no slot is free for a prefetch")
                 waited_s = self._timers.now() - began
                 degraded = self._orders.right() is OrderRight.DEGRADED
                 if degraded and waited_s >= self._settings["OWNER_WAIT_S"]:
-                    # No slot becomes free while nothing may be evicted. An outage
-                    # that does not end soon would only hold the answer back until
-                    # the deadline.
+                    # No slot becomes free while nothing may be evicted. If the outage
+                    # does not end soon, waiting would only delay the answer until the
+                    # deadline.
                     detail = "nothing is evicted while the store does not answer"
                     failure = Failure(ErrorKind.NO_SLOT, detail, OUTAGE_RETRY_S)
                     return Err(failure)
@@ -188,7 +192,10 @@
             await self._changed.wait(self._timers, min(left, RIGHT_CHECK_INTERVAL_S))
 
     def _reuse_slot(self, slot: Slot, load: Load) -> bool:
-        """Whether the adapter's own slot serves; it stays if no load goes before."""
+        """Whether the adapter's slot can be used; holds it for the load's requests.
+
+        A slot being drained is kept only if no other load goes before this one.
+        """
         if slot.state is not SlotState.RESIDENT:
             return False
         if slot.draining and self._queue.ahead_of(load.key) == 0:
@@ -227,7 +234,7 @@
     ) -> Result[None, Failure]:
         now = self._timers.now()
         if self._residency.get(load.key) is not slot:
-            # The target restarted meanwhile: whatever was loaded is gone.
+            # The target restarted meanwhile and holds no adapter any more.
             self._allowances.release(permit, loaded=False)
             return Err(Failure(ErrorKind.LOAD_FAILED, "the target restarted"))
         if isinstance(reply, Ok) and self._residency.boot_id == reply.ok_value.boot_id:
@@ -244,7 +251,7 @@
             )
             return Ok(None)
         if isinstance(reply, Ok):
-            # A start of the target that no probe has told of yet.
+            # Another incarnation of the target, which no probe has seen yet.
             failure = Failure(ErrorKind.TARGET_LOST, "the target restarted")
         else:
             failure = reply.err_value
@@ -268,7 +275,7 @@
             why=failure.kind.value,
         )
         if failure.kind is ErrorKind.TARGET_LOST:
-            # It may still be loading: its slot and its share stay taken.
+            # It may still be loading, so its slot and its permit stay in use.
             self._residency.mark_uncertain(slot, started_at + self._settings["LOAD_S"])
             now = self._timers.now()
             self._unsettled_permits = [
@@ -280,7 +287,7 @@
         self._allowances.release(permit, loaded=False)
         if failure.kind is ErrorKind.NO_SLOT:
             # A load that an earlier owner ordered is still under way there. Each
-            # further try would use up a share of the weight store's rate.
+            # further try would use up one load of the weight store's rate.
             self._reclaimer.mark_full(self._timers.now() + FULL_BACKOFF_S)
         if failure.kind is ErrorKind.LOAD_FAILED:
             self._queue.record_failure(load.key, self._timers.now())
@@ -289,8 +296,8 @@
         return Err(Failure(ErrorKind.NO_SLOT, detail, retry_after_s=self._mean_s))
 
 
-# What a request is told when its load was not carried out: the request itself did
-# not run, whatever became of the load.
+# The error kinds that waiting requests get when their load fails. The request itself
+# did not run, whatever became of the load.
 _REQUEST_ERROR_KINDS = {
     ErrorKind.TARGET_LOST: ErrorKind.LOAD_FAILED,
     ErrorKind.NOT_FOUND: ErrorKind.LOAD_FAILED,
--- a/hawthornlead/engines/orders.py
+++ b/hawthornlead/engines/orders.py
@@ -1,9 +1,9 @@
-"""Orders of an owner to its target, each under its lease.
+"""Sends an owner's orders to its target, each under its lease.
 
-The right to order is read from the clock right before each order, and once more
-when the connection stands and the bytes are about to go out. What remains is a
-process frozen between that last look and the write: a fencing target refuses the
-order that comes after it wakes, another one carries it out.
+The right to order is read from the clock right before each order, and again when the
+connection is open and the bytes are about to be written. The process may still freeze
+between that last check and the write. A fencing target refuses the order that comes
+after it wakes; another target carries it out.
 """
 
 import asyncio
@@ -23,7 +23,10 @@
 
 
 class TargetOrders:
-    """The orders of one owner of one target."""
+    """The orders of one owner of one target.
+
+    ``fence`` is the fencing number of the ownership.
+    """
 
     def __init__(
         self,
@@ -47,12 +50,12 @@
         self._superseded = False
         self._stopped = False
         self._fencing: asyncio.Task | None = None
-        # Evictions that were sent and not answered, and until when each may land.
+        # Evictions sent and not answered, and until when each may take effect.
         self._pending_evictions: dict[str, float] = {}
 
     @property
     def superseded(self) -> bool:
-        """Whether the target knows a later owner."""
+        """Whether the target refused this owner's number for a later owner's."""
         return self._superseded
 
     @property
@@ -62,18 +65,18 @@
 
     @property
     def max_duration_s(self) -> float:
-        """How long an order may be under way from its last check to its effect."""
+        """The longest time from an order's last check to its effect."""
         return clock_safe_wait_s(
             self._settings["ORDER_S"], self._settings["CLOCK_RATE_ERROR"]
         )
 
     @property
     def evictions_end_at(self) -> float:
-        """When every eviction that was sent has surely taken effect, or never will."""
+        """When all evictions that were sent have taken effect, or never will."""
         return max(self._pending_evictions.values(), default=float("-inf"))
 
     def stop(self) -> None:
-        """Order nothing any more: the ownership is over."""
+        """Order nothing more, since the ownership has ended."""
         self._stopped = True
 
     def right(self) -> OrderRight:
@@ -83,10 +86,10 @@
         owned = self._owners.owned(target_resource(self._target))
         if owned is None or owned.fence != self._fence:
             return OrderRight.NONE
-        # A successor waits out ORDER_S after the lease, so an order needs no more
-        # than a lease that is held when it starts. A load may last longer (LOAD_S):
-        # one that lands late fills a slot, which the successor's reports show, and
-        # takes no adapter from any request.
+        # A successor waits for ORDER_S after the lease ends, so an order needs only a
+        # lease that is held when it starts. A load may take longer (LOAD_S). A late
+        # load fills a slot, which the successor's reports show, and takes no adapter
+        # from any request.
         return self._owners.right(target_resource(self._target), 0.0)
 
     def may_evict(self) -> bool:
@@ -96,7 +99,7 @@
     async def load(
         self, key: AdapterVersion, base_model: str, in_time: Callable[[], bool]
     ) -> Result[OrderReply, Failure]:
-        """Order a load; ``in_time`` says whether its permit still holds."""
+        """Order a load; ``in_time`` says whether its permit is still valid."""
         return await self._order(
             Order.LOAD,
             key,
@@ -108,35 +111,35 @@
     async def evict(
         self, key: AdapterVersion, idle: Callable[[], bool]
     ) -> Result[OrderReply, Failure]:
-        """Order an eviction of an adapter version that ``idle`` proves unused."""
+        """Order the eviction of an adapter version while ``idle`` says it is unused."""
 
         serial = f"{key.adapter}/{key.version}"
 
         def allowed() -> bool:
             if not self.may_evict() or not idle():
                 return False
-            # Asked right before the bytes are written.
+            # Called right before the bytes are written.
             self._pending_evictions[serial] = self._timers.now() + self.max_duration_s
             return True
 
         reply = await self._order(
             Order.EVICT, key, "", self._settings["ORDER_S"], allowed
         )
-        # GRA-8: what got no answer may land until its time is over; an answer,
-        # whatever it says, and a connection that never stood, end it.
+        # GRA-8: an order without an answer may take effect until its time is over. Any
+        # answer ends it, and so does a connection that was never made.
         if isinstance(reply, Ok) or reply.err_value.kind is not ErrorKind.TARGET_LOST:
             self._pending_evictions.pop(serial, None)
         return reply
 
     def start_fence(self) -> Awaitable[Result[OrderReply, Failure]]:
-        """Order ``fence`` unless one is under way; all who wait share its outcome."""
+        """Send a fence order unless one is under way; all callers share its outcome."""
         if self._fencing is None or self._fencing.done():
             loop = asyncio.get_running_loop()
             self._fencing = loop.create_task(self.fence())
         return asyncio.shield(self._fencing)
 
     async def fence(self) -> Result[OrderReply, Failure]:
-        """Tell the target this owner's fencing number."""
+        """Order the target to accept this owner's fencing number."""
         sent_at = self._timers.now()
         reply = await self._order(
             Order.FENCE,
@@ -149,7 +152,7 @@
             return reply
         boot_id = reply.ok_value.boot_id
         if not self._guard.record_fenced(sent_at, self._timers.now(), boot_id):
-            detail = f"{self._target} restarted"
+            detail = f"{self._target} restarted during the fence order"
             return Err(Failure(ErrorKind.TARGET_LOST, detail))
         return reply
 
@@ -162,7 +165,7 @@
         allowed: Callable[[], bool],
     ) -> Result[OrderReply, Failure]:
         if not allowed():
-            detail = f"no right to order {op.value} at {self._target}"
+            detail = f"this owner may not order {op.value} at {self._target} now"
             return Err(Failure(ErrorKind.NO_GRANT, detail))
         owned = self._owners.owned(target_resource(self._target))
         self._invariants.check(
--- a/hawthornlead/engines/residencies.py
+++ b/hawthornlead/engines/residencies.py
@@ -1,8 +1,8 @@
-"""What a target has in its slots, as its owner believes.
+"""The owner's view of what a target has in its slots.
 
-Two sources are merged: the owner's own orders, whose outcome is known at once, and
-reports, which lag. A report changes a slot only when it describes a moment after the
-last order that touched it.
+It merges two sources: the owner's own orders, whose outcome is known at once, and
+reports, which lag. A report changes a slot only if it describes a moment after the
+last order that changed it.
 """
 
 from enum import Enum
@@ -19,7 +19,7 @@
     LOADING = "loading"
     RESIDENT = "resident"
     EVICTING = "evicting"
-    # An order's outcome was lost: a later report must tell.
+    # An order's outcome is unknown until a later report.
     UNCERTAIN = "uncertain"
 
 
@@ -37,20 +37,20 @@
         self.running = 0
         self.awaiting_grant = 0
         self.draining = False
-        # An eviction was sent, and its outcome is not known.
+        # An eviction was sent and its outcome is unknown.
         self.evict_pending = False
-        # Engine time of the last order that touched it.
+        # Engine time of the last order that changed it.
         self.changed_at = float("-inf")
-        # Owner time after which a lost order has surely ended.
+        # Owner time after which an order without an answer has certainly ended.
         self.settled_after = float("inf")
 
     @property
     def grantable(self) -> bool:
-        """Whether requests may be let onto it."""
+        """Whether grants may be issued on it."""
         return self.state is SlotState.RESIDENT and not self.draining
 
     def resident(self) -> Resident:
-        """The slot as owners tell it."""
+        """Return the slot as owners announce it."""
         loading = self.state is not SlotState.RESIDENT
         return Resident(self.key.adapter, self.key.version, self.running, loading)
 
@@ -62,13 +62,13 @@
         self._clock = clock
         self._size = size
         self._slots: dict[AdapterVersion, Slot] = {}
-        # Engine time at which this owner evicted an adapter: older reports that
-        # still show it must not bring it back.
+        # Engine time at which this owner evicted an adapter. Older reports still show
+        # the adapter and must not add it again.
         self._evicted_at: dict[AdapterVersion, float] = {}
 
     @property
     def boot_id(self) -> str | None:
-        """The target's start that the slots belong to."""
+        """The boot id of the target's incarnation that the slots belong to."""
         return self._clock.boot_id
 
     @property
@@ -78,7 +78,7 @@
 
     @property
     def free(self) -> int:
-        """How many slots hold nothing; what is uncertain takes its slot."""
+        """How many slots are free; an uncertain slot counts as used."""
         return self._size - len(self._slots)
 
     def slots(self) -> tuple[Slot, ...]:
@@ -90,40 +90,43 @@
         return self._slots.get(key)
 
     def residents(self) -> tuple[Resident, ...]:
-        """Return the slots as owners tell them, in a fixed order."""
+        """Return the used slots as owners announce them, in a fixed order."""
         return tuple(sorted(slot.resident() for slot in self._slots.values()))
 
     def start_load(self, key: AdapterVersion, base_model: str) -> Slot:
-        """Take a free slot for a load that is about to be ordered."""
+        """Use a free slot for a load that is about to be ordered."""
         slot = Slot(key, SlotState.LOADING, base_model)
         self._slots[key] = slot
         return slot
 
     def mark_loaded(self, slot: Slot, engine_now: float) -> None:
-        """The target said that it has loaded."""
+        """Record the target's answer that it has loaded."""
         slot.state = SlotState.RESIDENT
         slot.changed_at = engine_now
         self._evicted_at.pop(slot.key, None)
 
     def remove(self, slot: Slot, engine_now: float | None = None) -> None:
-        """The slot is free: evicted, or its load failed."""
+        """Free the slot after an eviction or a failed load.
+
+        ``engine_now`` is the engine time of the eviction.
+        """
         if self._slots.get(slot.key) is slot:
             del self._slots[slot.key]
         if engine_now is not None:
             self._evicted_at[slot.key] = engine_now
 
     def mark_uncertain(self, slot: Slot, settled_after: float) -> None:
-        """The outcome of an order is unknown; it ends by ``settled_after``."""
+        """Record an order with unknown outcome; it ends by ``settled_after``."""
         slot.state = SlotState.UNCERTAIN
         slot.settled_after = settled_after
 
     def on_restart(self) -> None:
-        """The target restarted: its slots are empty.
+        """Free the slots, which a restart of the target has emptied.
 
-        GRA-8: an eviction that has no answer may have been sent to the new start,
-        before any probe told of it. Were its slot forgotten, the adapter could be
-        loaded and granted again and then evicted under its requests; so the slot
-        stays taken until the order is over.
+        GRA-8: an eviction without an answer may have been sent to the new incarnation
+        before any probe saw it. If its slot were freed, the adapter could be loaded
+        and granted again and then evicted under its requests. So the slot stays in
+        use until the order has ended.
         """
         self._evicted_at.clear()
         for key, slot in list(self._slots.items()):
@@ -134,7 +137,7 @@
             slot.changed_at = float("-inf")
 
     def observe(self, report: Report) -> None:
-        """Merge a report of the target's present start."""
+        """Merge a report of the target's current incarnation."""
         self._size = report.slots
         reported = {}
         for resident in report.residents:
--- a/hawthornlead/engines/slot_reclaimers.py
+++ b/hawthornlead/engines/slot_reclaimers.py
@@ -1,9 +1,9 @@
-"""Room in a target's slots: which idle adapter goes, and grants asked back for it.
+"""Frees a target's slots for loads: evicts idle adapters and revokes grants.
 
-The loader says how many loads need room; nothing is evicted that a grant, a request
-or a waiting load still holds::
+The loader says how many loads need a slot. An adapter that a grant, a request or a
+waiting load still holds is not evicted::
 
-    if room.has_capacity_for(expected=1) and await room.free_slot():
+    if reclaimer.has_capacity_for(expected=1) and await reclaimer.free_slot():
         ...  # a slot is free
 """
 
@@ -20,12 +20,12 @@
 from .owned_targets import Policies
 from .residencies import Residency, Slot, SlotState
 
-# How long a load waits at most for grants that it has asked back.
+# How long a load waits at most for the release of grants that it had revoked.
 DRAIN_TIMEOUT_S = 0.1
 
 
 class SlotReclaimer:
-    """Makes room in the slots of one target."""
+    """Frees slots of one target."""
 
     def __init__(
         self,
@@ -50,34 +50,34 @@
         self._residency = residency
         self._changed = changed
         self._revoke = revoke
-        # The target said that its slots are full, against what is known of them.
+        # Until when the target's answer that its slots are full overrules its reports.
         self._full_until = float("-inf")
 
     def could_hold(self, key: AdapterVersion, loads_before: int = 0) -> bool:
         """Whether ``key`` has a slot, or could soon have one.
 
-        ``loads_before`` loads need one each before it. A slot that runs nothing counts,
-        also under grants, which can be asked back.
+        ``loads_before`` other loads need a slot each before it. A slot that runs
+        nothing counts, even under grants, since grants can be revoked.
         """
         if self._residency.get(key) is not None:
             return True
-        room = self._residency.free
+        free = self._residency.free
         for slot in self._residency.slots():
             if slot.state is SlotState.RESIDENT and not slot.awaiting_grant:
-                room += slot.running == 0 or self._ledger.idle(slot.key)
-        return room > loads_before
+                free += slot.running == 0 or self._ledger.idle(slot.key)
+        return free > loads_before
 
     def has_capacity_for(self, expected: int) -> bool:
-        """Whether there is room beside that for ``expected`` loads that saw some."""
+        """Whether a slot is free or idle beside those ``expected`` by other loads."""
         if self._timers.now() < self._full_until:
             return False
-        room = self._residency.free
+        free = self._residency.free
         if self._orders.may_evict():
-            room += len(self._idle_slots())
-        return room > expected
+            free += len(self._idle_slots())
+        return free > expected
 
     def mark_full(self, until: float) -> None:
-        """Note that the target has no free slot, against what its reports say."""
+        """Count all slots as used until ``until``, whatever the reports say."""
         self._full_until = until
 
     async def free_slot(self) -> bool:
@@ -92,10 +92,10 @@
         return self._residency.free > 0
 
     def drain_one(self, loads: int) -> None:
-        """Ask the grants on one adapter back, so that it falls idle.
+        """Revoke the grants on one adapter, so that it becomes idle.
 
-        One slot is drained for each of ``loads`` at most, and one with nothing
-        running rather than one whose requests would have to end first.
+        At most one slot for each of ``loads`` is drained at a time. A slot that runs
+        nothing is preferred to one whose requests have to end first.
         """
         if not self._orders.may_evict():
             return
@@ -115,11 +115,11 @@
         self._revoke(self._ledger.revoke(slot.key))
 
     async def drain_best(self) -> None:
-        """Ask the grants on the best to evict back, if it is quiet but under some.
+        """Revoke the grants on the best adapter to evict, if it runs nothing.
 
-        A grant is kept for seconds after its last request. Were only slots without
-        grants weighed, a one-off that has just ended would outlive an adapter that is
-        asked for every ten seconds.
+        A VM keeps a grant for seconds after its last request. If only slots without
+        grants were considered, an adapter used just once would outlive an adapter
+        that is requested every ten seconds.
         """
         if self._residency.free > 0 or not self._orders.may_evict():
             return
@@ -139,13 +139,13 @@
             await self._changed.wait(self._timers, until - self._timers.now())
 
     def end_drains(self) -> None:
-        """Let adapters stay whose grants were asked back for loads that are over."""
+        """Keep adapters whose grants were revoked for loads that have ended."""
         for slot in self._residency.slots():
             slot.draining = False
 
     async def _evict(self, victim: Slot) -> bool:
-        """Evict; return whether the slot is free. No grant is given meanwhile."""
-        # GRA-7: nothing is granted on it from here until its outcome is known.
+        """Evict; return whether the slot is free. No grant is issued meanwhile."""
+        # GRA-7: nothing is granted on this slot until the outcome is known.
         victim.state = SlotState.EVICTING
         victim.evict_pending = True
         reply = await self._orders.evict(
@@ -172,9 +172,9 @@
             self._residency.remove(victim)
             return True
         if kind is ErrorKind.TARGET_LOST:
-            # GRA-8: it may still take effect, also under this same owner. Granted
-            # meanwhile, its requests would lose their adapter. The bytes may have
-            # left just before the timeout, so the time counts from here.
+            # GRA-8: the eviction may still take effect, also under this same owner.
+            # Requests granted meanwhile would lose their adapter. The bytes may have
+            # been sent just before the timeout, so the time counts from here.
             self._residency.mark_uncertain(
                 victim, self._timers.now() + self._orders.max_duration_s
             )
--- a/hawthornlead/engines/slots.py
+++ b/hawthornlead/engines/slots.py
@@ -1,8 +1,8 @@
-"""The owner's side of one target: who may run there, and what it has loaded.
+"""The owner of one target: decides who may run there and what it has loaded.
 
-A ``TargetOwner`` lives on the VM that owns ``target:NAME``, from taking it to losing
-it. It reads the target's reports, gives grants, and lets the loader load and evict.
-Other VMs' requests reach it as messages through ``TargetOwners``.
+A ``TargetOwner`` exists on the VM that owns ``target:NAME`` for as long as it owns it.
+It polls the target's reports, issues grants, and lets the loader load and evict.
+``TargetOwners`` hands it the messages of other VMs.
 """
 
 from collections.abc import Callable
@@ -33,7 +33,12 @@
 
 
 class TargetOwner:
-    """Decides for one target."""
+    """Decides on grants, loads and evictions of one target.
+
+    ``cast`` sends a revocation to a VM without waiting for an answer.
+    ``has_predecessor_stopped`` says whether all earlier owners are proved to have
+    stopped.
+    """
 
     def __init__(
         self,
@@ -152,21 +157,21 @@
 
     @property
     def silent(self) -> bool:
-        """Whether the target has stopped answering its owner."""
+        """Whether the target no longer answers its owner."""
         return self._poller.silent
 
     @property
     def grants(self) -> GrantIssuer:
-        """The part that gives, extends and takes back grants."""
+        """The part that issues, renews and takes back grants."""
         return self._grant_issuer
 
     @property
     def evictions_end_at(self) -> float:
-        """When every eviction that was sent has surely taken effect, or never will."""
+        """When all evictions that were sent have taken effect, or never will."""
         return self._orders.evictions_end_at
 
     def start(self) -> None:
-        """Begin to read reports."""
+        """Start to poll the target."""
         self._timer = self._timers.every(
             self._settings["REPORT_INTERVAL_S"],
             self.poll,
@@ -175,12 +180,12 @@
         self._events.emit(EventKind.TARGET_OWNED, self._target.name, fence=self._fence)
 
     def release(self) -> None:
-        """Grant and order nothing from now on; what is under way ends in ``stop``."""
+        """Stop granting and ordering; ``stop`` ends what is under way."""
         self._orders.stop()
         self._changed.fire()
 
     async def stop(self) -> None:
-        """End; grants that are out run out by themselves."""
+        """End polls and loads; outstanding grants expire by themselves."""
         self.release()
         if self._timer is not None:
             self._timer.cancel()
@@ -191,7 +196,7 @@
         )
 
     def state(self, serial: int) -> TargetState:
-        """Return what other VMs are told; a silent target has nothing to offer."""
+        """Return the state to announce; a silent target offers no slots."""
         silent = self.silent
         return TargetState(
             target=self._target.name,
@@ -206,13 +211,13 @@
         )
 
     def suspect(self) -> None:
-        """Probe the target soon: a request failed there."""
+        """Probe the target soon, since a request failed there."""
         self._poller.request_probe()
         if not self._polling:
             self._timers.after(0, self.poll, name="suspected target")
 
     async def poll(self) -> None:
-        """Fence, probe and read the report, as far as each is due."""
+        """Fence, probe and read the report, each if it is due."""
         if self._polling:
             return
         self._polling = True
@@ -231,7 +236,7 @@
         self._metrics.grants_out.labels(self._target.name).set(self._ledger.outstanding)
 
     def _announced_residents(self) -> tuple[Resident, ...]:
-        """Return the residents and the loads that wait, so that others join them."""
+        """Return residents and waiting loads, so that other requests join a load."""
         residents = self._residency.residents()
         known = {resident[:2] for resident in residents}
         waiting = (r for r in self._queue.residents() if r[:2] not in known)
@@ -239,7 +244,7 @@
 
     def _refusal(self) -> Failure | None:
         if self._orders.right() is OrderRight.NONE:
-            return no_grant(f"no right to grant on {self._target.name}")
+            return no_grant(f"this owner may not grant on {self._target.name} now")
         if self.leaving:
             detail = f"{self._target.name} is leaving"
             return Failure(ErrorKind.TARGET_REFUSED, detail)
@@ -259,10 +264,10 @@
             self._cast(grant.vm, RevokeGrant(self._target.name, grant.grant_id))
 
     def _on_restart(self) -> None:
-        """Ask all grants back: the slots are empty.
+        """Revoke all grants, since the slots are empty.
 
-        Nothing is loaded again by itself. Requests ask for what they need, through
-        the allowance, so that a restart makes no stampede on the weight store.
+        Adapters are loaded again only when requests need them, within the load
+        allowance. Reloading all at once would overload the weight store.
         """
         self._revoke(self._ledger.revoke_all())
         self._loader.on_restart()
