--- a/hawthornlead/engines/target_owners.py
+++ b/hawthornlead/engines/target_owners.py
@@ -224,7 +224,7 @@
             announced.serial += 1
             announced.at = now
             announced.state = state._replace(serial=announced.serial)
-            self._views.take(announced.state)
+            self._views.apply_state(announced.state)
             self._mesh.broadcast(announced.state)
         self._announce_to_new_vms()
 
--- a/hawthornlead/gateway/target_attempts.py
+++ b/hawthornlead/gateway/target_attempts.py
@@ -297,8 +297,8 @@
             entry
         ):
             return
-        if head.signs.rest_s:
-            self._parts.backoffs.record(entry.target, head.signs.rest_s)
+        if head.signs.backoff_s:
+            self._parts.backoffs.record(entry.target, head.signs.backoff_s)
         if head.signs.leaving:
             self._parts.leaving_notices.note(entry.incarnation)
         limit_per_s = head.signs.limit_per_s
@@ -330,7 +330,7 @@
             return AttemptOutcome.REFUSED
         if not self._parts.targets.is_current(entry):
             return AttemptOutcome.REFUSED
-        self._parts.placer.note_missing(entry.target, key)
+        self._parts.placer.notify_missing(entry.target, key)
         if status == MISDIRECTED_STATUS and placed.candidate.holding is Holding.READY:
             # One that was loaded for this request is said to be there by foresight and
             # may be late. Given up, it would be fetched again at the next engine, and
