--- a/hawthornlead/gateway/gateways.py
+++ b/hawthornlead/gateway/gateways.py
@@ -320,7 +320,7 @@
             way=self._relays.way(CONFIGURATION_KIND),
         )
         self._parts.apply_configuration(configuration)
-        self._engine_manager.take(configuration)
+        self._engine_manager.apply_configuration(configuration)
         self._sweep()
 
     def _keep_configuration(self, name: str) -> None:
