--- a/hawthornlead/gateway/target_attempts.py
+++ b/hawthornlead/gateway/target_attempts.py
@@ -297,8 +297,8 @@
             entry
         ):
             return
-        if head.signs.rest_s:
-            self._parts.backoffs.record(entry.target, head.signs.rest_s)
+        if head.signs.backoff_s:
+            self._parts.backoffs.record(entry.target, head.signs.backoff_s)
         if head.signs.leaving:
             self._parts.leaving_notices.note(entry.incarnation)
         limit_per_s = head.signs.limit_per_s
