--- a/hawthornlead/engines/engine_clocks.py
+++ b/hawthornlead/engines/engine_clocks.py
@@ -1,10 +1,10 @@
-"""What an engine's clock says about moments on the owner's clock.
+"""Orders moments on an engine's clock after moments on its owner's clock, by probes.
 
 A report describes the moment ``as_of`` on the engine's clock. To prove that it was
-taken after a moment of the owner's, the owner probes the engine: a probe sent at s
-and answered with the engine's time e was answered after s, so whatever the engine
-did at e or later, it did after s. Neither the difference of the two clocks nor their
-rates matter, and a slow answer only makes the proof later.
+taken after a moment on the owner's clock, the owner probes the engine. A probe sent at
+s and answered with the engine time e was answered after s. So whatever the engine did
+at e or later, it did after s. Neither the difference of the two clocks nor their rates
+matter, and a slow answer only delays the proof.
 """
 
 from collections import deque
@@ -19,7 +19,7 @@
 
 
 class EngineClock:
-    """Probes of one engine, since it started."""
+    """Probes of the current incarnation of one engine."""
 
     def __init__(self):
         self._boot_id: str | None = None
@@ -27,7 +27,7 @@
 
     @property
     def boot_id(self) -> str | None:
-        """The engine's start that was last heard of by a probe."""
+        """The engine's incarnation by the newest probe, None before the first."""
         return self._boot_id
 
     @property
@@ -36,9 +36,9 @@
         return self._probes[-1].sent_at if self._probes else None
 
     def record_probe(self, sent_at: float, engine_now: float, boot_id: str) -> bool:
-        """Note an answered probe; return whether the engine has restarted.
+        """Record an answered probe; return whether the engine has restarted.
 
-        Probes must not overlap: then a different ``boot_id`` is a later start.
+        Probes must not overlap, so that a different ``boot_id`` is a later incarnation.
         """
         restarted = self._boot_id is not None and boot_id != self._boot_id
         if boot_id != self._boot_id:
@@ -48,7 +48,10 @@
         return restarted
 
     def proves_after(self, as_of: float, moment: float) -> bool:
-        """Whether engine time ``as_of`` is surely not before the owner's ``moment``."""
+        """Whether engine time ``as_of`` is proved not to precede owner time ``moment``.
+
+        The first probe sent at or after ``moment`` decides.
+        """
         for probe in self._probes:
             if probe.sent_at >= moment:
                 return as_of >= probe.engine_now
--- a/hawthornlead/engines/evict_guards.py
+++ b/hawthornlead/engines/evict_guards.py
@@ -137,7 +137,7 @@
         return True
 
     def fence_is_fresh(self) -> bool:
-        """Whether the last accepted fence order is recent enough for degraded grants."""
+        """Whether the last accepted fence order still allows degraded grants."""
         if not self._fencing:
             return True
         if self._fenced_at is None or not self._is_fenced:
--- a/hawthornlead/engines/exchanges.py
+++ b/hawthornlead/engines/exchanges.py
@@ -1,8 +1,8 @@
 """HTTP exchanges with targets: one request and its streamed response.
 
-A ``TargetConnections`` keeps idle connections to targets for reuse. Tornado's
-``HTTP1Connection`` speaks the protocol; what is added here is the keeping of
-connections and the proof of whether a request can have reached its target::
+``TargetConnections`` keeps idle connections to targets for reuse. Tornado's
+``HTTP1Connection`` implements the protocol. This module adds the connection pool and
+the proof of whether a request can have reached its target::
 
     exchange = await connections.open(address, fresh=False)
     await exchange.send("POST", "/v1/completions", headers, body)
@@ -21,8 +21,8 @@
 from ..timers import TimerService
 from .grant_ledgers import MAX_SEND_S
 
-# A target may close an idle connection at any time, and a request that crosses
-# with the closing is lost in doubt; a short idle time keeps that rare.
+# A target may close an idle connection at any time. If a request is sent just then,
+# nobody knows whether it ran. A short idle time keeps that rare.
 IDLE_TIMEOUT_S = 5.0
 MAX_IDLE_PER_TARGET = 64
 CONNECT_TIMEOUT_S = 2.0
@@ -39,7 +39,7 @@
 
 
 class _Response(httputil.HTTPMessageDelegate):
-    """Hands a response's parts on to one exchange."""
+    """Receives the parts of one response from Tornado."""
 
     def __init__(self, on_data: DataCallback, on_activity: Callable[[], None]):
         self._on_data = on_data
@@ -67,7 +67,7 @@
         self.on_reading_ended()
 
     def on_reading_ended(self, reading: asyncio.Task | None = None) -> None:
-        """Note that nothing more will come."""
+        """Record that no more of the response will come."""
         if not self.head.done():
             self.head.set_result(None)
 
@@ -94,12 +94,12 @@
 
     @property
     def reused(self) -> bool:
-        """Whether the connection had carried an exchange before."""
+        """Whether the connection carried an exchange before."""
         return self._reused
 
     @property
     def head(self) -> ResponseHead | None:
-        """The status and headers of the response, None until they came."""
+        """The status and headers of the response, None until they arrive."""
         if self._response is None or not self._response.head.done():
             return None
         return self._response.head.result()
@@ -131,9 +131,9 @@
         connection.write_headers(start, headers, body)
         connection.finish()
         self._reading = asyncio.ensure_future(connection.read_response(self._response))
-        # A connection that ends before the headers ends the reading without a word
-        # to the response; unnoticed, a dead target would look like a slow one until
-        # the deadline, and the request that it died of would never be suspected.
+        # If the connection ends before the headers, the reading ends and the response
+        # is not notified. Without this callback a dead target would look slow until
+        # the deadline, and the request that killed it would never become a suspect.
         self._reading.add_done_callback(self._response.on_reading_ended)
         try:
             head = await asyncio.wait_for(
@@ -158,7 +158,7 @@
         return Ok(None)
 
     def release(self) -> None:
-        """Give the connection back for reuse if its response came whole."""
+        """Keep the connection for reuse if its response is complete."""
         whole = self._response is not None and self._response.finished
         if whole and self._reading.done():
             self._pool.keep(self._address, self._stream, IDLE_TIMEOUT_S)
@@ -166,15 +166,15 @@
             self.close()
 
     def close(self) -> None:
-        """Close the connection; the target sees its caller gone."""
+        """Close the connection; the target sees that its caller has gone."""
         self._stream.close()
         if self._reading is not None:
             self._reading.add_done_callback(_consume)
 
     def _abort_silent(self, detail: str) -> Err[Failure]:
-        # Whatever made this connection silent, something on the way that forgot it,
-        # say, may have done so to all that are open. Reused one by one, each would
-        # cost a request the whole time of silence and one retry of the budget.
+        # What made this connection silent, such as lost state in something on the path,
+        # may affect all open connections. If they were reused, each could cost a
+        # request the whole silence timeout and one retry of the budget.
         self.close()
         self._pool.forget(self._address)
         return Err(_lost(self._address, detail))
@@ -184,12 +184,12 @@
 
 
 class TargetConnections:
-    """Exchanges with targets, on connections that are kept while idle for a moment."""
+    """Opens exchanges with targets; keeps idle connections for a short time."""
 
     def __init__(self, *, timers: TimerService):
         self._timers = timers
-        # GRA-5: a request sent in its grant's last instant must not arrive, after many
-        # retransmissions, when a report has shown the adapter idle and it was evicted.
+        # GRA-5: a request sent at the end of its grant must not arrive, after many
+        # retransmissions, when a report has shown the adapter idle and it is evicted.
         self._pool = ConnectionPool(
             timers=timers,
             connect_s=CONNECT_TIMEOUT_S,
@@ -203,8 +203,8 @@
         """Return an exchange on an idle connection or on a new one.
 
         Nothing has been sent when this fails, so its error is
-        ``TARGET_UNREACHABLE``. ``fresh`` True never reuses: a connection gone silent
-        says nothing of its target, a new one does.
+        ``TARGET_UNREACHABLE``. With ``fresh`` a new one is always opened: only a new
+        connection, not one gone silent, proves something about its target.
         """
         opened = await self._pool.open(address, fresh)
         return opened.map(
--- a/hawthornlead/engines/hot_copies.py
+++ b/hawthornlead/engines/hot_copies.py
@@ -1,9 +1,9 @@
-"""One more copy of a hot adapter, loaded while no request waits for it.
+"""Prefetches one more copy of a hot adapter, while no request waits for it.
 
-Placement says whether the rate asks for another copy and where. The copy is asked for
-as a grant with a load, which is given back unused: the load is all that is wanted. It
-goes after all loads that requests wait for, takes no grant from anyone, and is given
-up after a moment: the next request for the adapter asks again.
+Placement says whether the adapter's rate requires another copy, and where. The copy is
+requested as a grant with a load; the grant is released unused. The load goes after all
+loads that requests wait for and revokes no grants. It is abandoned after a few
+seconds, and a later request for the adapter tries again.
 """
 
 from ..bundles.bundles import Assignment
@@ -13,15 +13,15 @@
 from ..timers import TimerService
 from .grants import Grants
 
-# How long an adapter is left alone after it was looked at.
+# How long after one check of an adapter the next one follows.
 CHECK_INTERVAL_S = 1.0
-# How long a copy may take: a moment for its leave, then the load.
+# How long a copy may take: a short wait for its permit, then the load.
 LOAD_TIMEOUT_S = 5.0
 MAX_ADAPTERS = 1024
 
 
 class HotCopies:
-    """Asks for more copies of the adapters that requests come for."""
+    """Prefetches more copies of the adapters that are requested often."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self._checked_at: dict[str, float] = {}
 
     def consider(self, assignment: Assignment) -> None:
-        """Ask for one more copy if the rate of the adapter wants one."""
+        """Request one more copy if the adapter's rate requires one."""
         now = self._timers.now()
         adapter = assignment.adapter
         if now - self._checked_at.get(adapter, -CHECK_INTERVAL_S) < CHECK_INTERVAL_S:
@@ -57,7 +57,7 @@
             self._timers.after(0, lambda: self._load(target, assignment), "spare copy")
 
     async def _load(self, target: str, assignment: Assignment) -> None:
-        # The grant is dropped at once: unused, it is given back with the idle ones.
+        # The grant is not kept. Unused, it is released with the idle ones.
         await self._grants.acquire(
             target, assignment, wait_s=LOAD_TIMEOUT_S, prefetch=True, slot_wait_s=0.0
         )
--- a/hawthornlead/engines/owned_targets.py
+++ b/hawthornlead/engines/owned_targets.py
@@ -1,4 +1,4 @@
-"""What a target's owner is made from: the target's entry and the strategies."""
+"""What a target's owner is built from: the target's entry and the strategies."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -10,7 +10,11 @@
 
 
 class OwnedTarget(NamedTuple):
-    """What the VM list says of an owned target."""
+    """An owned target, as the VM list describes it.
+
+    ``slots`` is used until the first report. ``fencing`` says whether the target
+    refuses orders with old fencing numbers.
+    """
 
     name: str
     address: str
@@ -20,7 +24,10 @@
 
 
 class Policies(NamedTuple):
-    """The strategies that a target's owner asks."""
+    """The strategies that a target's owner uses.
+
+    ``copies`` counts the other targets that hold an adapter version.
+    """
 
     eviction: Eviction
     load_order: LoadOrder
--- a/hawthornlead/engines/residencies.py
+++ b/hawthornlead/engines/residencies.py
@@ -26,8 +26,8 @@
 class Slot:
     """One used slot of a target.
 
-    ``awaiting_grant`` counts requests whose load just ended and that have no grant yet,
-    ``draining`` says that its grants are asked back to make room.
+    ``awaiting_grant`` counts requests whose load has ended and that have no grant yet.
+    ``draining`` says that its grants are revoked to free the slot.
     """
 
     def __init__(self, key: AdapterVersion, state: SlotState, base_model: str = ""):
--- a/hawthornlead/engines/suspect_reservations.py
+++ b/hawthornlead/engines/suspect_reservations.py
@@ -1,17 +1,17 @@
-"""The place for one suspect on each target, kept by the target's owner.
+"""Reservations that let only one suspect request run on a target at a time.
 
-A suspect is a request that was on a target when it died. Two of them on one target,
-from different VMs, would both be there at its next death, and an innocent one would
-be convicted with the one that did it. So a suspect asks the target's owner for the
-only place that it gives out, and gives it back when its attempt has ended::
+A suspect is a request that was on a target when it died. If two suspects of different
+VMs ran on one target when it died again, the harmless one would be quarantined together
+with the cause. So a suspect reserves the only slot for suspects at the target's owner,
+and releases it when its attempt has ended::
 
-    taken = await places.reserve(view, request_id, hold_s=20.0)
-    if taken.is_ok():
+    reserved = await reservations.reserve(view, request_id, hold_s=20.0)
+    if reserved.is_ok():
         ...                                     # run the attempt
-        places.release(view, request_id)
+        reservations.release(view, request_id)
 
-The place is no lock that safety rests on: an owner that changes, or forgets, lets
-two suspects meet, which costs an innocent request some minutes at worst.
+No safety depends on the reservation. If the owner changes or restarts, two suspects may
+run together, which costs a harmless request some minutes at worst.
 """
 
 from typing import NamedTuple
@@ -29,14 +29,14 @@
 
 
 class _Reservation(NamedTuple):
-    """Who holds a target's place, and until when if it is not given back."""
+    """Which request holds a target's reservation, and until when at most."""
 
     request_id: str
     ends_at: float
 
 
 class SuspectReservations:
-    """Asks owners for places, and gives out those of this VM's own targets."""
+    """Reserves slots for suspects at owners, and grants those of this VM's targets."""
 
     def __init__(self, *, timers: TimerService, mesh):
         self._timers = timers
@@ -49,7 +49,7 @@
     async def reserve(
         self, view: TargetView, request_id: str, hold_s: float
     ) -> Result[None, Failure]:
-        """Take the place on a target for at most ``hold_s`` seconds.
+        """Reserve the suspect slot of a target for at most ``hold_s`` seconds.
 
         Fails with ``NO_GRANT`` while another suspect holds it or the target has no
         owner, and with ``PEER_UNAVAILABLE`` when the owner does not answer.
@@ -63,7 +63,7 @@
         return reply.map(lambda _: None)
 
     def release(self, view: TargetView, request_id: str) -> None:
-        """Give a place back, if one was taken; lost, it runs out by itself."""
+        """Release a reservation, if one is held; if that is lost, it expires."""
         owner_vm = self._owner_vms.pop(request_id, None)
         if owner_vm is not None:
             send(self._mesh, owner_vm, ReleaseSuspectSlot(view.target, request_id))
--- a/hawthornlead/engines/target_deaths.py
+++ b/hawthornlead/engines/target_deaths.py
@@ -1,8 +1,8 @@
-"""Finding out whether a target died, and which requests were on it.
+"""Finds out whether a target died, and which requests were running on it.
 
-A broken or silent stream says nothing of its target: a fresh connection does. Only
-a target that refuses it, or answers with a new boot id, has died; then all requests
-that this VM had there become suspects, and the other VMs are told so.
+A broken or silent stream proves nothing about its target, but a new connection does.
+A target has died only if it refuses the connection or answers with a new boot id. Then
+all requests that this VM ran there become suspects, and the other VMs are notified.
 """
 
 from collections import defaultdict
@@ -20,14 +20,18 @@
 
 
 class RunningAttempt(NamedTuple):
-    """An attempt on a target: its request, and the target's start if known."""
+    """An attempt on a target.
+
+    ``fingerprint`` identifies its request. ``boot_id`` is the target's incarnation,
+    empty if unknown.
+    """
 
     fingerprint: bytes
     boot_id: str
 
 
 class TargetDeaths:
-    """The requests on each target, and the test of whether a target died."""
+    """Tracks this VM's requests on each target and checks whether a target died."""
 
     def __init__(
         self,
@@ -49,7 +53,7 @@
     def record_start(
         self, view: TargetView, attempt_id: str, fingerprint: bytes
     ) -> RunningAttempt:
-        """Note that an attempt goes to a target, at the start that is known of it."""
+        """Record that an attempt goes to the known incarnation of a target."""
         if view.state is not None and view.state.boot_id:
             self.record_boot_id(view.target, view.state.boot_id)
         boot_id = self._boot_ids.get(view.target, "")
@@ -58,20 +62,20 @@
         return attempt
 
     def record_end(self, target: str, attempt_id: str) -> None:
-        """Note that an attempt has ended."""
+        """Record that an attempt has ended."""
         self._running[target].pop(attempt_id, None)
 
     def running_fingerprints(self, target: str) -> tuple[bytes, ...]:
-        """Return the fingerprints of what this VM runs on a target."""
+        """Return the fingerprints of the requests that this VM runs on a target."""
         return tuple(attempt.fingerprint for attempt in self._running[target].values())
 
     async def check(
         self, view: TargetView, attempt: RunningAttempt, failure: Failure
     ) -> None:
-        """Test a target that failed an attempt, and share the suspects if it died.
+        """Probe a target that failed an attempt; announce the suspects if it died.
 
-        Held against the boot id that was known when the attempt began: by now
-        another attempt may have met the target's next start.
+        The answer is compared with the boot id that was known when the attempt
+        started. By now another attempt may have seen the next incarnation.
         """
         attempts = (attempt, *self._running[view.target].values())
         fingerprints = {
@@ -89,7 +93,7 @@
         self._report_death(view, attempt.boot_id, tuple(sorted(fingerprints)), failure)
 
     def record_boot_id(self, target: str, boot_id: str) -> None:
-        """Note a target's boot id, as seen while it was well."""
+        """Record the boot id that a healthy target has given."""
         self._boot_ids[target] = boot_id
 
     def _report_death(self, view, boot_id: str, fingerprints, failure: Failure) -> None:
--- a/hawthornlead/engines/target_owners.py
+++ b/hawthornlead/engines/target_owners.py
@@ -1,4 +1,4 @@
-"""All targets that this VM owns, and the messages that other VMs send their owner."""
+"""The targets that this VM owns: takeovers, announcements, messages to their owners."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -25,17 +25,17 @@
 from .slots import TargetOwner
 from .targets import TargetClient
 
-# States are told at most this often, soon after a change ...
+# States are announced at most this often, soon after a change ...
 ANNOUNCE_INTERVAL_S = 0.1
-# ... and this often without one. With many targets the pause grows, so that all
-# owners together send each VM this many states a second.
+# ... and this often without one. With many targets the interval grows, so that all
+# owners together send each VM at most MAX_STATES_PER_S states a second.
 REANNOUNCE_INTERVAL_S = 3.0
 MAX_STATES_PER_S = 40.0
 DEFAULT_WEIGHT_STORE = "default"
 
 
 class _Announced:
-    """What was last told of one target."""
+    """What was last announced of one target."""
 
     def __init__(self):
         self.state: TargetState | None = None
@@ -44,7 +44,7 @@
 
 
 class _Incarnation(NamedTuple):
-    """A VM's start, as the mesh tells VMs apart."""
+    """One incarnation of a VM; the mesh distinguishes VMs by it."""
 
     vm: str
     incarnation: str
@@ -77,7 +77,7 @@
         self._targets: dict[str, TargetOwner] = {}
         self._announced: dict[str, _Announced] = {}
         self._requested: set[str] = set()
-        # Until when evictions of targets that were given up may take effect.
+        # Until when evictions of targets that were released may take effect.
         self._evictions_end_at: dict[str, float] = {}
         self._connected: frozenset[_Incarnation] = frozenset()
         self._timer = None
@@ -88,7 +88,7 @@
         return dict(self._targets)
 
     def start(self) -> None:
-        """Want the targets of the VM list and answer for those that are owned."""
+        """Request ownership of the targets in the VM list and serve the owned ones."""
         self._mesh.on(AcquireGrant, self._on_acquire)
         self._mesh.on(RenewGrants, self._on_renew)
         self._mesh.on(ReleaseGrant, self._on_release)
@@ -103,7 +103,7 @@
         )
 
     async def stop(self) -> None:
-        """Give up all targets."""
+        """Release all targets."""
         if self._timer is not None:
             self._timer.cancel()
         owners = list(self._targets.values())
@@ -161,8 +161,8 @@
     def _has_pending_order(self, resource: str) -> bool:
         """Whether an eviction that this VM sent may still take effect.
 
-        GRA-8: at a shutdown or a move the resource is given back at once. A successor
-        that did not know of the open order would grant before it took effect.
+        GRA-8: at a shutdown or a move the resource is released at once. A successor
+        that does not know of the pending order would grant before it takes effect.
         """
         return self._timers.now() < self._evictions_end_at.get(resource, float("-inf"))
 
@@ -193,7 +193,7 @@
         )
 
     def _has_predecessor_stopped(self, ownership) -> bool:
-        """Whether all earlier owners are proved to have stopped, by now."""
+        """Whether all earlier owners are now proved to have stopped."""
         owned = self._owners.owned(ownership.resource)
         if owned is None or owned.fence != ownership.fence:
             return False
@@ -229,10 +229,10 @@
         self._announce_to_new_vms()
 
     def _announce_to_new_vms(self) -> None:
-        """Tell VMs that connected since the last turn what was told before.
+        """Announce the last states to VMs that connected since the last run.
 
-        Guards against a VM that has just started and knows no target: it would
-        refuse every request with no-target until the next retelling, seconds later.
+        A VM that has just started knows no target. Without this it would refuse every
+        request with no-target until the next announcement, seconds later.
         """
         connected = frozenset(
             _Incarnation(peer.vm, peer.incarnation) for peer in self._mesh.live
@@ -276,7 +276,7 @@
 
 
 def _differs(announced: TargetState | None, state: TargetState) -> bool:
-    """Whether what routing depends on has changed; counts wait for their turn."""
+    """Whether what routing depends on has changed; changed counts can wait."""
     if announced is None or (announced.slots, announced.leaving) != (
         state.slots,
         state.leaving,
--- a/hawthornlead/engines/target_pollers.py
+++ b/hawthornlead/engines/target_pollers.py
@@ -1,4 +1,8 @@
-"""What an owner reads from its target: probes, reports, restarts, silence."""
+"""Polls an owned target: probes, reports, and what they show of restarts and silence.
+
+A probe is answered at once and ties the engine's clock to the owner's. A report
+describes the load of the engine at an earlier moment.
+"""
 
 from collections.abc import Callable
 
@@ -13,14 +17,15 @@
 from .residencies import Residency
 from .targets import TargetClient
 
-# A probe is sent at least this often, for restarts; more often when a proof waits.
+# Probes are sent at least this often, to notice restarts. More are sent when a report
+# has to prove something.
 PROBE_INTERVAL_S = 2.0
-# Unanswered calls in a row after which the target counts as silent.
+# After this many unanswered calls in a row the target counts as silent.
 MAX_MISSED_CALLS = 3
 
 
 class TargetPoller:
-    """Reads one target and hands what it tells to the owner's books."""
+    """Polls one target and updates the owner's clock, grants, slots and guard."""
 
     def __init__(
         self,
@@ -53,21 +58,21 @@
 
     @property
     def silent(self) -> bool:
-        """Whether the target has stopped answering."""
+        """Whether the target no longer answers."""
         return self._missed >= MAX_MISSED_CALLS
 
     @property
     def running(self) -> int:
-        """The requests that ran there by the newest report."""
+        """The number of running requests in the newest report."""
         return self._running
 
     @property
     def queued(self) -> int:
-        """The requests that waited there by the newest report."""
+        """The number of queued requests in the newest report."""
         return self._queued
 
     def request_probe(self) -> None:
-        """Probe at the next reading."""
+        """Probe at the next poll."""
         self._probe_requested = True
 
     async def poll(self) -> None:
@@ -118,7 +123,8 @@
             return
         report = answer.ok_value
         if report.boot_id != self._clock.boot_id:
-            # Of another start: it tells nothing of this one, but asks for a probe.
+            # Another incarnation's report says nothing of this one. A probe will show
+            # which of them is current.
             self._probe_requested = True
             return
         self._running = report.running
--- a/hawthornlead/engines/targets.py
+++ b/hawthornlead/engines/targets.py
@@ -1,14 +1,15 @@
 """Client of one target: orders, reports, health, cancels.
 
-Every call opens a connection of its own, so that a connection that went silent for
-good (something between the two ends lost track of it) cannot take later calls with
-it. Every call has a timeout. What a failure proves about the call is in its kind:
+Every call opens its own connection. If one connection goes silent for good, because
+something on its path lost its state, later calls are not affected. Every call has a
+timeout. The kind of a failure says what is proved about the call:
 
-- ``TARGET_UNREACHABLE``: no connection, so the call was not carried out.
+- ``TARGET_UNREACHABLE``: there was no connection, so the call was not carried out.
 - ``TARGET_REFUSED``, ``STALE_FENCE``, ``NO_SLOT``, ``LOAD_FAILED``, ``NOT_FOUND``:
   the target answered that it did not carry it out.
-- ``NO_GRANT``: the sender's own right ran out before the bytes were written.
-- ``TARGET_LOST``: bytes were sent and no whole answer came; it may have happened.
+- ``NO_GRANT``: the sender's own right ended before the bytes were written.
+- ``TARGET_LOST``: bytes were sent and no whole answer came, so the target may have
+  carried out the call.
 """
 
 import json
@@ -24,7 +25,7 @@
 from ..errors import ErrorKind, Failure
 from ..messages import Resident
 
-# A call that asks and changes nothing: long enough for a busy engine's event loop.
+# Timeout of calls that are no orders; long enough for a busy engine's event loop.
 QUERY_TIMEOUT_S = 2.0
 MAX_CLIENTS = 200
 
@@ -39,23 +40,27 @@
 
 
 class OrderReply(NamedTuple):
-    """A carried out order: the engine's clock in seconds, and its start."""
+    """The reply to an order that was carried out.
+
+    ``now`` is the engine's clock in seconds, ``boot_id`` its incarnation.
+    """
 
     now: float
     boot_id: str
 
 
 class Health(NamedTuple):
-    """A target's answer to a probe: its start and its clock, never lagging."""
+    """A target's answer to a probe: its incarnation and its current clock."""
 
     boot_id: str
     now: float
 
 
 class Report(NamedTuple):
-    """A target's report of its load; it may be older than now.
+    """A target's report of its load, which may lag.
 
     ``as_of`` is the moment that it describes, on the engine's own clock.
+    ``step_fill`` is how full the engine's steps were.
     """
 
     boot_id: str
@@ -78,7 +83,10 @@
 
 
 class _RightLostError(Exception):
-    """The right to order ended while the connection was being made."""
+    """The right to order ended while the connection was being made.
+
+    Raised inside the HTTP client, to abort the request before its body is written.
+    """
 
 
 class TargetClient:
@@ -112,11 +120,11 @@
         timeout_s: float,
         still_allowed: Callable[[], bool] = lambda: True,
     ) -> Result[OrderReply, Failure]:
-        """Give one order and wait for it to be carried out.
+        """Send one order and wait until it is carried out.
 
-        ``still_allowed`` is asked once more after the connection was made, right
-        before the body is written. Without it a process that is frozen while it
-        connects would, woken after its lease, still send the order.
+        ``still_allowed`` is called again after the connection was made, right before
+        the body is written. Without it a process that freezes while it connects would
+        still send the order when it wakes after its lease.
         """
         body = json.dumps(
             {
@@ -208,7 +216,7 @@
         try:
             name = str(json.loads(response.body)["error"])
         except (ValueError, KeyError, TypeError):
-            # Not an answer of the protocol: it promises nothing.
+            # Not an answer of the protocol, so it proves nothing.
             detail = f"{self._address} answered {response.code}"
             return Err(Failure(ErrorKind.TARGET_LOST, detail))
         kind = _REFUSALS.get(name, ErrorKind.TARGET_REFUSED)
@@ -217,11 +225,11 @@
     def _failure_of(self, error: BaseException | None) -> Failure:
         detail = f"{self._address}: {error!r}"
         if isinstance(error, HTTPTimeoutError):
-            # Tornado says in which phase the time ran out; before the connection
-            # stood, no byte was sent.
+            # Tornado says in which phase the time ran out. Before the connection was
+            # made, no byte was sent.
             unsent = "connecting" in str(error) or "queue" in str(error)
         else:
-            # Any other error of the system can also come after bytes were sent.
+            # Any other system error can also occur after bytes were sent.
             unsent = isinstance(error, ConnectionRefusedError)
         if unsent:
             return Failure(ErrorKind.TARGET_UNREACHABLE, detail)
@@ -229,7 +237,7 @@
 
 
 class TargetClients:
-    """One client for each target address, on one HTTP client with room for all."""
+    """One client for each target address; all share one HTTP client."""
 
     def __init__(self, *, rng: random.Random):
         self._rng = rng
@@ -249,7 +257,7 @@
     try:
         return Ok(convert(json.loads(response.body)))
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        # The call was answered 200, but not with what was asked for.
+        # The call was answered with 200, but the body is not of the protocol.
         return Err(Failure(ErrorKind.TARGET_LOST, f"malformed answer: {error!r}"))
 
 
