--- a/hawthornlead/ownership/former_owners.py
+++ b/hawthornlead/ownership/former_owners.py
@@ -1,7 +1,7 @@
-"""What a VM knows of earlier owners: whether they are ended, and have stopped.
+"""Whether earlier owners of a resource are ended, and whether they have stopped.
 
-Ended is an incarnation that never renews its lease again. Stopped is a process that
-does nothing any more; a frozen one that was ended may still wake and act.
+An ended incarnation never renews its lease again. A stopped process does nothing any
+more. A frozen process whose incarnation was ended may still wake up and act.
 """
 
 from collections.abc import Iterable
@@ -14,7 +14,7 @@
 
 
 class FormerOwners:
-    """Tells of recorded owners what the leases and the members prove."""
+    """Answers from leases and members whether recorded owners are gone."""
 
     def __init__(self, *, leases, members):
         self._leases = leases
@@ -23,8 +23,8 @@
     def may_take(self, record: OwnerRecord | None) -> bool:
         """Whether a record names no owner, or one whose incarnation is ended.
 
-        One that is not registered as far as is known counts as free here; before
-        it is taken, ``ended_among`` asks the store.
+        An owner that this VM does not know as registered counts as ended here; before
+        the takeover ``ended_among`` checks it in the store.
         """
         if record is None or record.free:
             return True
@@ -36,11 +36,11 @@
     async def ended_among(
         self, records: Iterable[OwnerRecord]
     ) -> Result[set[str], Failure]:
-        """Return the recorded owners' incarnations that are ended for certain.
+        """Return the recorded owners' incarnations that are certainly ended.
 
-        An incarnation that this VM's view does not hold was ended and pruned, or
-        registered a moment ago. The store tells: it registered before it owned
-        anything, so that a list read after the record was holds it if it lives.
+        An incarnation that this VM does not know was either ended and pruned, or has
+        just registered. The store decides: an owner registers before it owns anything,
+        so a listing that is read after the record contains it if it is live.
         """
         recorded = {record.incarnation for record in records}
         recorded.discard("")
@@ -53,13 +53,13 @@
                 ended.add(incarnation)
         if not unknown:
             return Ok(ended)
-        present = await self._leases.live_in_store()
-        if present.is_err():
-            return present
-        return Ok(ended | (unknown - present.ok_value))
+        live = await self._leases.live_in_store()
+        if live.is_err():
+            return live
+        return Ok(ended | (unknown - live.ok_value))
 
     def has_stopped(self, former: FormerOwner | OwnerRecord) -> bool:
-        """Whether a process is proved to do nothing any more."""
+        """Whether the process of an owner is proved to have stopped."""
         known = self._leases.registration_of(former.incarnation)
         if known is not None and known.stopped:
             return True
--- a/hawthornlead/ownership/owner_records.py
+++ b/hawthornlead/ownership/owner_records.py
@@ -1,4 +1,4 @@
-"""The objects of kind ``owners``: who owns which resource, under which fence.
+"""The store objects of kind ``owners``: each resource's owner and fence.
 
 The value of ``owners/SHARD`` maps each resource to its record::
 
@@ -6,9 +6,9 @@
                                      "fence": 7, "wait": false, "unproved": [],
                                      "unsettled": false}}}
 
-``unproved`` names the earlier owners of which no proof has told that they stopped;
-``wait`` tells that the owner has to wait out ``ORDER_S`` first. ``unsettled`` tells
-that an order of an earlier owner may be under way, also of one that has stopped
+``unproved`` names the earlier owners that are not proved to have stopped. With
+``wait`` the owner must wait ``ORDER_S`` before its first order. ``unsettled`` means
+that an order of an earlier owner may be under way, even if that owner has stopped
 since. A released record names no VM and keeps its fence.
 """
 
@@ -18,24 +18,25 @@
 from ..hashes import digest64
 
 KIND = "owners"
-# Every VM must compute the same object for a resource: fixed, not a setting.
+# This is no setting, because all VMs must compute the same object for a resource.
 SHARDS = 16
+# A record lists at most this many earlier owners, so that its size is bounded.
 MAX_UNPROVED = 16
 
 
 class FormerOwner(NamedTuple):
-    """An earlier owner of which it is not proved that it has stopped."""
+    """An earlier owner that is not proved to have stopped."""
 
     vm: str
     incarnation: str
 
 
-# Stands for those that no longer fit in a record; it is never proved stopped.
+# Stands for the earlier owners that a full record drops; it is never proved stopped.
 UNLISTED_OWNERS = FormerOwner("", "")
 
 
 class OwnerRecord(NamedTuple):
-    """A resource's record in the store."""
+    """A resource's record in the store; the fields are described in the module."""
 
     vm: str
     incarnation: str
@@ -51,12 +52,12 @@
 
 
 def shard_of(resource: str) -> str:
-    """Name the object that holds a resource's record."""
+    """Return the name of the object that holds a resource's record."""
     return str(digest64("owners", resource) % SHARDS)
 
 
 def records_of(value: dict) -> dict[str, OwnerRecord]:
-    """Read all records of one object."""
+    """Decode all records of one object."""
     return {
         resource: OwnerRecord(
             record["vm"],
@@ -81,41 +82,42 @@
 def taken_record(
     old: OwnerRecord | None, vm: str, incarnation: str, stopped: bool
 ) -> OwnerRecord:
-    """Return the record after a takeover; ``stopped``: the old owner's stop is proved.
+    """Return the record after a takeover; ``stopped`` if the old owner is proved so.
 
-    The wait is inherited: an owner that was taken over before it waited out the
-    orders of its own predecessor leaves that wait to its successor. One that gave
-    the resource back after its wait leaves none.
+    The wait is inherited: an owner that is replaced before it has waited for the
+    orders of its own predecessor leaves that wait to its successor. An owner that
+    releases the resource after its wait leaves none.
     """
     if old is None:
         return OwnerRecord(vm, incarnation, 1)
-    # OWN-9: all earlier owners without proof are handed on, not just the last. Else
-    # a degraded owner of an ignoring target is forgotten when its successor stops
-    # with proof; the next owner evicts, and breaks requests under its grants.
+    # OWN-9: the record keeps all earlier owners without proof, not just the last. A
+    # target may ignore the fence and still serve a degraded owner. If that owner were
+    # dropped when its successor stops with proof, the next owner would evict and so
+    # break requests under the degraded owner's grants.
     unproved = old.unproved
     if not old.free and not stopped:
         unproved += (FormerOwner(old.vm, old.incarnation),)
     if len(unproved) > MAX_UNPROVED:
         unproved = (UNLISTED_OWNERS, *unproved[1 - MAX_UNPROVED :])
     wait = bool(unproved) and (old.wait or unproved != old.unproved)
-    # GRA-8: the proof that an owner's process ended tells nothing of an order that
-    # it sent before; only one that gave back with no order open leaves none.
+    # GRA-8: proof that an owner's process has stopped does not cover an order that it
+    # sent before. Only an owner that released with no open order leaves none.
     unsettled = not old.free or old.unsettled
     return OwnerRecord(vm, incarnation, old.fence + 1, wait, unproved, unsettled)
 
 
 def freed_record(old: OwnerRecord, waited: bool, settled: bool) -> OwnerRecord:
-    """Return the record after its owner gave the resource back.
+    """Return the record after its owner released the resource.
 
-    ``waited`` tells whether the owner had waited out its predecessor's orders,
-    ``settled`` that no order of its own or an earlier owner can be under way.
+    ``waited`` tells whether the owner had waited for its predecessor's orders to end,
+    ``settled`` that no order of its own or of an earlier owner can be under way.
     """
     wait = old.wait and not waited
     return OwnerRecord("", "", old.fence, wait, old.unproved, not settled)
 
 
 def group_by_shard(resources: Iterable[str]) -> dict[str, list[str]]:
-    """Sort resources by the object that holds their records."""
+    """Group resources by the object that holds their records."""
     shards: dict[str, list[str]] = {}
     for resource in resources:
         shards.setdefault(shard_of(resource), []).append(resource)
--- a/hawthornlead/ownership/owners.py
+++ b/hawthornlead/ownership/owners.py
@@ -1,10 +1,10 @@
 """Ownership of targets and load allowances, with fencing numbers.
 
-A resource has at most one owner at a time that may do anything with it: it is
-taken by a conditional update that raises the fence, and only once the recorded
-owner's incarnation is ended, which it is only when its lease has run out or its
-process has stopped. ``right`` reads the clock, so that an owner that was frozen
-past its lease finds out before its next order.
+At most one owner at a time may give orders for a resource. A VM takes it over by a
+conditional update that raises the fence, and only after the recorded owner's
+incarnation was ended: its lease has expired or its process has stopped. ``right``
+reads the clock, so an owner that was frozen past its lease notices that before its
+next order.
 """
 
 import asyncio
@@ -32,11 +32,12 @@
 
 __all__ = ["OrderRight", "OwnerRecord", "Owners", "Ownership"]
 
+# How often a VM checks for resources to take over or to release.
 TAKEOVER_INTERVAL_S = 0.2
 
 
 class Owners:
-    """The resources that this VM owns, and who owns the others."""
+    """Takes over resources for this VM, and knows the owners of all others."""
 
     def __init__(
         self,
@@ -62,8 +63,10 @@
         self._invariants = invariants
         self._vm = settings["VM_NAME"]
         self._former = FormerOwners(leases=leases, members=members)
-        self._order = TakeoverOrder(settings=settings, timers=timers, members=members)
-        self._wanted: dict[str, str] = {}
+        self._takeover_order = TakeoverOrder(
+            settings=settings, timers=timers, members=members
+        )
+        self._requested: dict[str, str] = {}
         self._records: dict[str, OwnerRecord] = {}
         self._versions: dict[str, int] = {}
         self._owned: dict[str, OwnedState] = {}
@@ -77,15 +80,15 @@
         self._task: asyncio.Task | None = None
 
     def start(self) -> None:
-        """Begin to watch records and to take what is wanted and free."""
-        self._leases.on_ended(self._lose_all)
+        """Start to watch records and to take over requested resources that are free."""
+        self._leases.on_ended(self._end_all)
         self._watch = self._store.watch(
             KIND, lambda event: self._apply(event.object), self._mark_synced
         )
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def stop(self) -> None:
-        """Take nothing more; see ``release_all`` for giving back."""
+        """Stop taking over; ``release_all`` also releases what is owned."""
         self._stopping = True
         if self._watch is not None:
             self._watch.cancel()
@@ -93,15 +96,15 @@
             self._task.cancel()
 
     def request(self, resource: str, data_centre: str) -> None:
-        """Take part in owning a resource that stands in a data centre."""
-        self._wanted[resource] = data_centre
+        """Take over a resource of a data centre whenever it is this VM's turn."""
+        self._requested[resource] = data_centre
 
     def withdraw(self, resource: str) -> None:
-        """Own a resource no more: its target is gone. Given back if owned."""
-        self._wanted.pop(resource, None)
+        """Withdraw the request for a resource, which is then released if owned."""
+        self._requested.pop(resource, None)
 
     def owned(self, resource: str) -> Ownership | None:
-        """Return the ownership of a resource that this VM has taken."""
+        """Return this VM's ownership of a resource, None if it does not own it."""
         owned = self._owned.get(resource)
         if owned is None:
             return None
@@ -115,22 +118,22 @@
         )
 
     def owned_resources(self) -> tuple[str, ...]:
-        """All resources that this VM has taken and not lost."""
+        """Return all resources that this VM owns."""
         return tuple(self._owned)
 
     def owner_of(self, resource: str) -> OwnerRecord | None:
-        """Return the newest record known; None when nobody owns the resource."""
+        """Return the newest known record of a resource, None if nobody owns it."""
         record = self._records.get(resource)
         if record is None or record.free:
             return None
         return record
 
     def right(self, resource: str, duration_s: float = 0.0) -> OrderRight:
-        """Tell what this VM may do with a resource for ``duration_s`` from now.
+        """Return what this VM may do with a resource for ``duration_s`` from now.
 
-        Called right before each order: what was true before a wait may not be. An
-        order asks with 0: it may outlast the lease, since a successor waits out
-        ``ORDER_S`` after it. Only what no successor waits for needs ``duration_s``.
+        Call it right before each order, since the answer may change during any wait.
+        For an order ``duration_s`` is 0: it may outlast the lease, as a successor waits
+        ``ORDER_S`` after it. Work that no successor waits for needs ``duration_s``.
         """
         owned = self._owned.get(resource)
         if owned is None or self._leases.state == "ended":
@@ -144,30 +147,31 @@
         return OrderRight.FULL
 
     def on_taken(self, callback: Callable[[Ownership], None]) -> None:
-        """Call ``callback`` with each ownership that this VM gets."""
+        """Call ``callback`` with each ownership that this VM obtains."""
         self._on_taken.append(callback)
 
     def on_lost(self, callback: Callable[[str], None]) -> None:
-        """Call ``callback`` with each resource that this VM owns no longer."""
+        """Call ``callback`` with each resource that this VM no longer owns."""
         self._on_lost.append(callback)
 
     def set_open_order_check(self, has_open_order: Callable[[str], bool]) -> None:
-        """Ask ``has_open_order`` at each release whether an order may be under way.
+        """Set the function that tells whether an order for a resource is under way.
 
-        After a release with an open order the successor waits as after a death.
+        It is called at each release. With an open order the successor waits as it
+        does after the owner's death.
         """
         self._has_open_order = has_open_order
 
     async def release(self, resource: str) -> Result[None, Failure]:
-        """Give a resource back, so that a successor takes it without waiting.
+        """Release a resource, so that a successor can take it over without a wait.
 
-        If an order is under way (see ``set_open_order_check``), the successor waits it
-        out. It is not taken again before ``request``.
+        If an order is under way (see ``set_open_order_check``), the successor waits
+        until it has ended. This VM does not take the resource again before ``request``.
         """
         return await self._release((resource,))
 
     async def release_all(self) -> Result[None, Failure]:
-        """Give back everything, at shutdown, and take nothing more."""
+        """Release everything at shutdown, and take over nothing more."""
         self._stopping = True
         return await self._release(tuple(self._owned))
 
@@ -177,11 +181,11 @@
         waited = {name for name in resources if now >= self._full_at(name)}
         settled = {name for name in resources if now >= self._orders_end_at(name)}
         for resource in resources:
-            self._wanted.pop(resource, None)
+            self._requested.pop(resource, None)
             self._releasing.add(resource)
-            # The right ends before the write is sent: from then on a successor
+            # The right must end before the write is sent, since afterwards a successor
             # may have it.
-            self._lose(resource, EventKind.OWNERSHIP_RELEASED)
+            self._end_ownership(resource, EventKind.OWNERSHIP_RELEASED)
         settled -= {name for name in resources if self._has_open_order(name)}
         for shard, names in group_by_shard(resources).items():
             written = await self._store.update(
@@ -190,8 +194,9 @@
                 lambda value, n=names: self._with_released(value, n, waited, settled),
             )
             if written.is_err():
-                # Whether it was given back is unknown: it stays in ``_releasing``,
-                # which keeps an old record from being taken for a present one.
+                # Whether the release was written is unknown. The resources stay in
+                # ``_releasing``, so that an old record that still names this VM does
+                # not make it owner again.
                 outcome = Err(written.err_value)
                 continue
             self._releasing.difference_update(names)
@@ -221,19 +226,19 @@
     async def _run(self) -> None:
         while True:
             try:
-                await self._tick()
+                await self._check_resources()
             except Exception:
-                # A bug met with one resource must not end the taking of all others.
-                logger.exception("taking ownership failed")
+                # A bug that concerns one resource must not stop all later takeovers.
+                logger.exception("taking over resources failed; it is retried")
             await self._timers.sleep(TAKEOVER_INTERVAL_S * self._rng.uniform(0.75, 1.0))
 
-    async def _tick(self) -> None:
+    async def _check_resources(self) -> None:
         if not self._synced or not self._leases.synced or self._stopping:
             return
-        unwanted = [name for name in self._owned if name not in self._wanted]
-        unfinished = tuple(self._releasing) + tuple(unwanted)
-        if unfinished:
-            await self._release_again(unfinished)
+        withdrawn = [name for name in self._owned if name not in self._requested]
+        to_release = tuple(self._releasing) + tuple(withdrawn)
+        if to_release:
+            await self._release_pending(to_release)
         if self._members.draining:
             return
         if not self._leases.held(self._settings["LEASE_RENEW_S"]):
@@ -244,21 +249,23 @@
         for shard, names in group_by_shard(due).items():
             await self._take_over(shard, names)
 
-    async def _release_again(self, names: tuple[str, ...]) -> None:
-        wanted = {name: self._wanted[name] for name in names if name in self._wanted}
+    async def _release_pending(self, names: tuple[str, ...]) -> None:
+        requested = {
+            name: self._requested[name] for name in names if name in self._requested
+        }
         await self._release(names)
-        self._wanted.update(wanted)
+        self._requested.update(requested)
 
     def _due(self) -> list[str]:
         free = []
         owners: dict[str, str] = {}
-        for resource, data_centre in self._wanted.items():
+        for resource, data_centre in self._requested.items():
             record = self._records.get(resource)
             if not self._former.may_take(record):
                 owners[resource] = record.vm
             elif resource not in self._releasing:
                 free.append(FreeResource(resource, data_centre))
-        return self._order.due(free, self._wanted, owners)
+        return self._takeover_order.due(free, self._requested, owners)
 
     async def _take_over(self, shard: str, names: list[str]) -> None:
         recorded = [self._records[name] for name in names if name in self._records]
@@ -274,7 +281,7 @@
         if written.is_ok():
             self._apply(written.ok_value)
             return
-        logger.debug("ownership not taken: {}", written.err_value.detail)
+        logger.debug("resources not taken over: {}", written.err_value.detail)
 
     def _with_taken(self, value, names, ended: set[str], incarnation: str):
         if incarnation != self._leases.incarnation or not self._leases.held():
@@ -284,12 +291,16 @@
         for name in names:
             record = records.get(name)
             free = record is None or record.free or record.incarnation in ended
-            if not free or name not in self._wanted:
+            if not free or name not in self._requested:
                 continue
             stopped = record is None or record.free or self._former.has_stopped(record)
             if record is not None:
-                left = [f for f in record.unproved if not self._former.has_stopped(f)]
-                record = record._replace(unproved=tuple(left))
+                unproved = [
+                    each
+                    for each in record.unproved
+                    if not self._former.has_stopped(each)
+                ]
+                record = record._replace(unproved=tuple(unproved))
             taken[name] = taken_record(record, self._vm, incarnation, stopped)
         return with_records(value, taken) if taken else None
 
@@ -300,10 +311,10 @@
         self._synced = True
 
     def _apply(self, stored: StoredObject) -> None:
-        """Take in an object as it was read or written, unless a newer is known.
+        """Apply an object that was read or written, unless a newer one is known.
 
-        The watch may tell of the state before a takeover after the answer to the
-        takeover has arrived; by its version it is left aside.
+        The watch may report the state before a takeover after the answer to the
+        takeover has arrived; that event has an older version and is ignored.
         """
         if stored.version <= self._versions.get(stored.name, 0):
             return
@@ -314,41 +325,46 @@
                 rises = record.fence >= old.fence
                 self._invariants.check("fence-never-falls", rises, resource)
             self._records[resource] = record
-            self._compare(resource, old, record)
+            self._update_ownership(resource, old, record)
 
-    def _compare(self, resource, old: OwnerRecord | None, record: OwnerRecord) -> None:
+    def _update_ownership(
+        self, resource, old: OwnerRecord | None, record: OwnerRecord
+    ) -> None:
         owned = self._owned.get(resource)
         if not self._is_mine(record):
             if owned is not None:
-                self._lose(resource, EventKind.OWNERSHIP_LOST)
+                self._end_ownership(resource, EventKind.OWNERSHIP_LOST)
             return
         if resource in self._releasing:
             return
         if owned is not None and owned.fence == record.fence:
             return
         if owned is not None:
-            self._lose(resource, EventKind.OWNERSHIP_LOST)
-        self._get(resource, old, record)
+            self._end_ownership(resource, EventKind.OWNERSHIP_LOST)
+        self._start_ownership(resource, old, record)
 
-    def _get(self, resource, old: OwnerRecord | None, record: OwnerRecord) -> None:
+    def _start_ownership(
+        self, resource, old: OwnerRecord | None, record: OwnerRecord
+    ) -> None:
         now = self._timers.now()
-        # OWN-6: an order that was checked in the last moment of a lease runs for
-        # ORDER_S by its sender's clock, which may be slower than this one. Without
-        # the rate error it would take effect after the first grant given here.
-        wait = clock_safe_wait_s(
+        # OWN-6: an order that was checked in the last moment of a lease may run for
+        # ORDER_S by its sender's clock, which may be slower than this one. Without the
+        # rate error the wait could end, and the first grant be issued here, before that
+        # order takes effect.
+        wait_s = clock_safe_wait_s(
             self._settings["ORDER_S"], self._settings["CLOCK_RATE_ERROR"]
         )
         self._owned[resource] = OwnedState(
             record.incarnation,
             record.fence,
             now,
-            now + wait if record.wait else now,
+            now + wait_s if record.wait else now,
             old.vm if old is not None else "",
             record.unproved,
-            now + wait if record.wait or record.unsettled else now,
+            now + wait_s if record.wait or record.unsettled else now,
         )
         ownership = self.owned(resource)
-        self._tell(
+        self._report_change(
             EventKind.OWNERSHIP_TAKEN,
             resource,
             fence=ownership.fence,
@@ -358,19 +374,19 @@
         for callback in self._on_taken:
             callback(ownership)
 
-    def _lose(self, resource: str, kind: EventKind) -> None:
+    def _end_ownership(self, resource: str, kind: EventKind) -> None:
         owned = self._owned.pop(resource, None)
         if owned is None:
             return
-        self._tell(kind, resource, fence=owned.fence)
+        self._report_change(kind, resource, fence=owned.fence)
         for callback in self._on_lost:
             callback(resource)
 
-    def _tell(self, kind: EventKind, resource: str, **fields) -> None:
+    def _report_change(self, kind: EventKind, resource: str, **fields) -> None:
         self._events.emit(kind, resource, **fields)
         if self._metrics is not None:
             self._metrics.owned_resources.set(len(self._owned))
 
-    def _lose_all(self) -> None:
+    def _end_all(self) -> None:
         for resource in tuple(self._owned):
-            self._lose(resource, EventKind.OWNERSHIP_LOST)
+            self._end_ownership(resource, EventKind.OWNERSHIP_LOST)
--- a/hawthornlead/ownership/ownerships.py
+++ b/hawthornlead/ownership/ownerships.py
@@ -1,4 +1,4 @@
-"""What it means to own a resource: the right to give orders, and its terms."""
+"""Records of ownership: the owner's right to give orders, and its terms."""
 
 from enum import Enum
 from typing import NamedTuple
@@ -9,9 +9,9 @@
 class OrderRight(Enum):
     """What an owner may do now.
 
-    ``DEGRADED``: the lease has run out, or runs out too soon, and the store has
-    not said that another took the resource. ``NONE``: not the owner, or not yet,
-    while the orders of a predecessor may still be running.
+    ``DEGRADED`` means that the lease has expired, or expires too soon, and the store
+    has not reported another owner. ``NONE`` means that the VM is not the owner, or
+    not yet, because orders of a predecessor may still be running.
     """
 
     FULL = "full"
@@ -20,12 +20,13 @@
 
 
 class Ownership(NamedTuple):
-    """A resource that this VM owns.
+    """A resource that this VM owns, with its fence and when it was taken over.
 
+    ``predecessor`` is the VM that owned it before, empty if none did.
     ``predecessor_stopped`` is False while any earlier owner is not proved to have
-    stopped: it may still send an order that it had checked before it froze.
-    Until ``orders_end_at`` an order of an earlier owner may take effect, also of one
-    that was proved to have stopped after it had sent it.
+    stopped; such a VM may still send an order that it checked before it froze.
+    Until ``orders_end_at`` an order of an earlier owner may take effect, even if that
+    owner is proved to have stopped after it sent the order.
     """
 
     resource: str
@@ -37,7 +38,11 @@
 
 
 class OwnedState(NamedTuple):
-    """What the owner itself keeps of a resource that it has taken."""
+    """The state that an owner keeps of a resource.
+
+    Its right is ``OrderRight.NONE`` until ``full_at``. ``unproved`` are the earlier
+    owners that were not proved to have stopped when it took the resource over.
+    """
 
     incarnation: str
     fence: int
--- a/hawthornlead/ownership/platforms.py
+++ b/hawthornlead/ownership/platforms.py
@@ -1,4 +1,4 @@
-"""The platform's VM list: which VMs there are, live or leaving. It lags."""
+"""Reads the platform's list of VMs, live and leaving; it lags behind the truth."""
 
 import json
 from collections.abc import Callable
@@ -25,7 +25,7 @@
 
 
 class VmList:
-    """The newest VM list that was read, read anew at each interval."""
+    """The newest VM list, read again every ``VM_LIST_INTERVAL_S``."""
 
     def __init__(
         self, *, settings, timers, events=None, metrics=None, invariants=None, rng=None
@@ -37,28 +37,28 @@
         self._client = None
         self._entries: tuple[VmEntry, ...] = ()
         self._read_at = float("-inf")
-        self._tag = ""
+        self._entity_tag = ""
         self._subscribers: list[Callable[[], None]] = []
         self._subscription = None
 
     @property
     def entries(self) -> tuple[VmEntry, ...]:
-        """All VMs of the newest list, by name."""
+        """All VMs of the newest list, sorted by name."""
         return self._entries
 
     @property
     def age_s(self) -> float:
-        """Seconds since the newest list was asked for; infinite before the first."""
+        """Seconds since the newest list was requested; infinite before the first."""
         return self._timers.now() - self._read_at
 
     def start(self) -> None:
-        """Begin to read the list."""
+        """Start to read the list."""
         self._client = AsyncHTTPClient(force_instance=True)
         self._timers.after(0, self.read, "VM list")
         self._subscription = self._timers.every(self._interval, self.read, "VM list")
 
     async def stop(self) -> None:
-        """Read no more."""
+        """Stop reading the list."""
         if self._subscription is not None:
             self._subscription.cancel()
         if self._client is not None:
@@ -85,7 +85,7 @@
         return self._with_role("entry")
 
     def apply(self, entries: tuple[VmEntry, ...], sent_at: float) -> None:
-        """Take a list that was asked for at ``sent_at``, unless a newer is held."""
+        """Apply a list requested at ``sent_at``, unless a newer one is known."""
         if sent_at < self._read_at:
             return
         self._read_at = sent_at
@@ -97,30 +97,32 @@
             callback()
 
     async def read(self) -> Result[None, Failure]:
-        """Read the list once; one that did not change costs a few bytes.
+        """Read the list once; the answer for an unchanged list is a few bytes.
 
-        The list of a large fleet is a hundred kilobytes and changes a few times an
-        hour, so a platform that gives entity tags is asked only for a newer one.
+        The list of a large fleet has a hundred kilobytes and changes a few times an
+        hour, so if the platform sends entity tags only a newer list is requested.
         """
         sent_at = self._timers.now()
         request = HTTPRequest(
             self._url,
-            headers={"If-None-Match": self._tag} if self._tag else None,
+            headers={"If-None-Match": self._entity_tag} if self._entity_tag else None,
             connect_timeout=self._timeout_s,
             request_timeout=self._timeout_s,
         )
         try:
             response = await self._client.fetch(request, raise_error=False)
-            if response.code == NOT_MODIFIED and self._tag:
+            if response.code == NOT_MODIFIED and self._entity_tag:
                 self.apply(self._entries, sent_at)
                 return Ok(None)
             response.rethrow()
             entries = tuple(_entry(vm) for vm in json.loads(response.body)["vms"])
         except (HTTPClientError, OSError, ValueError, KeyError, TypeError) as error:
-            logger.debug("VM list not read: {!r}", error)
-            return Err(Failure(ErrorKind.STORE_UNAVAILABLE, f"VM list: {error}", 1.0))
+            logger.debug("reading the VM list failed: {!r}", error)
+            return Err(
+                Failure(ErrorKind.STORE_UNAVAILABLE, f"VM list not read: {error}", 1.0)
+            )
         if sent_at >= self._read_at:
-            self._tag = response.headers.get("Etag", "")
+            self._entity_tag = response.headers.get("Etag", "")
         self.apply(entries, sent_at)
         return Ok(None)
 
--- a/hawthornlead/ownership/registered_vms.py
+++ b/hawthornlead/ownership/registered_vms.py
@@ -1,4 +1,4 @@
-"""Which VMs a roll must hear from, as the store has them at that moment."""
+"""The VMs that a roll needs an answer from, read from the store."""
 
 from result import Result
 
@@ -7,19 +7,19 @@
 
 
 async def list_registered(store) -> Result[tuple[Registration, ...], Failure]:
-    """Read from the store all VM starts that are not proved to have stopped.
+    """Read from the store all registrations that are not proved to have stopped.
 
-    One that was ended because its lease ran out is among them: it may still be
-    serving behind a cut.
+    They include those that ended because their lease expired: such a VM may still
+    serve callers behind a network partition.
     """
     listed = await store.list(KIND)
     return listed.map(_not_stopped)
 
 
 def _not_stopped(listed) -> tuple[Registration, ...]:
-    found = []
+    not_stopped = []
     for item in listed.items:
         for registration in registrations(item.value):
             if not registration.stopped:
-                found.append(registration)
-    return tuple(found)
+                not_stopped.append(registration)
+    return tuple(not_stopped)
--- a/hawthornlead/ownership/takeover_orders.py
+++ b/hawthornlead/ownership/takeover_orders.py
@@ -1,8 +1,8 @@
-"""The order in which VMs take over free resources: spread evenly, without a decider.
+"""The order in which VMs take over free resources, without a coordinator.
 
-Every VM computes the same order from what all know, and waits the longer the
-later it comes. Two that differ for a moment both try; the conditional update
-lets one of them win.
+Every VM computes the same order from what all VMs know, such that resources are
+spread evenly, and waits longer the later its rank. If the views of two VMs differ for a
+moment, both try, and the conditional update in the store lets one succeed.
 """
 
 from collections import Counter
@@ -11,19 +11,21 @@
 
 from ..hashes import rendezvous
 
+# A VM waits this long for each VM that ranks before it.
 RANK_DELAY_S = 0.4
+# Later ranks wait no longer than this one.
 MAX_RANK = 6
 
 
 class FreeResource(NamedTuple):
-    """A resource without an owner, and where it stands."""
+    """A resource without an owner, and its data centre."""
 
     resource: str
     data_centre: str
 
 
 class TakeoverOrder:
-    """Decides which free resources it is this VM's turn to take."""
+    """Decides which free resources this VM may take over now."""
 
     def __init__(self, *, settings, timers, members):
         self._vm = settings["VM_NAME"]
@@ -34,13 +36,13 @@
     def due(
         self,
         free: Iterable[FreeResource],
-        wanted: Mapping[str, str],
+        requested: Mapping[str, str],
         owners: Mapping[str, str],
     ) -> list[str]:
-        """Return the free resources that this VM should take now.
+        """Return the free resources that this VM should take over now.
 
-        ``wanted`` maps all resources to data centres, ``owners`` those that are
-        owned to the owner's VM.
+        ``requested`` maps all resources to their data centres, ``owners`` the owned
+        ones to the owner's VM.
         """
         now = self._timers.now()
         free = list(free)
@@ -50,7 +52,7 @@
         if not free:
             return []
         counts = Counter(owners.values())
-        resources_in = Counter(wanted.values())
+        resources_in = Counter(requested.values())
         due = []
         for item in sorted(free):
             order = self._order_for(item, counts, resources_in[item.data_centre])
@@ -62,14 +64,15 @@
         return due
 
     def _order_for(self, item: FreeResource, counts, resources: int) -> list[str]:
-        """Order the VMs: those of the data centre first, the full ones last.
+        """Return the VMs in the order in which they may take over a resource.
 
-        Full is a VM that already owns its share of the data centre's resources.
+        VMs of its data centre come first, among them those that own less than an equal
+        share of the data centre's resources. VMs of other data centres come last.
         """
-        here = set(self._members.in_data_centre(item.data_centre))
-        others = set(self._members.live_vms()) - here
-        share = -(-resources // max(1, len(here)))
-        by_hash = rendezvous(item.resource, here)
+        local = set(self._members.in_data_centre(item.data_centre))
+        remote = set(self._members.live_vms()) - local
+        share = -(-resources // max(1, len(local)))
+        by_hash = rendezvous(item.resource, local)
         order = [vm for vm in by_hash if counts[vm] < share]
         order += [vm for vm in by_hash if counts[vm] >= share]
-        return order + rendezvous(item.resource, others) or [self._vm]
+        return order + rendezvous(item.resource, remote) or [self._vm]
