--- a/hawthornlead/fleet/fleet_meshes.py
+++ b/hawthornlead/fleet/fleet_meshes.py
@@ -1,16 +1,15 @@
-"""How one VM speaks with all others, though it is connected with few of them.
+"""The mesh of one VM with the whole fleet, over connections with few VMs.
 
-What is said to all goes through heads: from a VM to the head that feeds it, from there
-to the other heads and to the VMs that each of them feeds. What is said to one VM goes
-on a connection of its own, opened when it is first needed. The parts of a VM see one
-mesh, with the VMs that live in it::
+A broadcast goes through heads: from a VM to its upstream head, from there to the other
+heads and to the subscribers of each of them. A message to one VM uses a direct
+connection, opened on demand. The parts of a VM see one mesh of all live VMs::
 
-    mesh.on(TargetReleased, take_released)
+    mesh.on(TargetReleased, on_released)
     mesh.broadcast(TargetReleased("i-7f3a", 812))
     reply = await mesh.call("gijon-7", ReservePrompt(...), 0.1)
 
-A message to all that a head had when it died is lost, as one is that was in the queue
-of a connection: whoever must know tells again, or counts what was told.
+A broadcast that a head held when it died is lost, and so is one in the send queue of a
+broken connection: senders repeat what must arrive, or receivers detect gaps by serials.
 """
 
 from collections.abc import Callable, Iterable
@@ -27,29 +26,29 @@
 from ..messages.fleets import ForwardedMessage, MemberState
 from ..tasks import TaskSet
 from ..timers import Subscription, TimerService
-from .attachments import NOTHING_TOLD, Attachments
 from .head_links import HeadLinks
+from .head_subscribers import NO_SERIAL, HeadSubscribers
 from .member_tables import MemberTable
-from .rosters import Roster
-
-# Up to so many VMs each keeps a connection with all others, and a message to all takes
-# one step.
-MOST_SMALL = 24
-LOOK_S = 0.2
-# A connection that was opened for a question is kept for so long after the last one.
-USED_KEPT_S = 20.0
-CALL_S = 1.0
-# How long a message that needs no reply waits for its connection.
-CAST_WAIT_S = 1.0
-# The legs of a message to all: from a VM to its head, between heads, from a head down.
+from .registered_orders import RegisteredOrder
+
+# Up to this many VMs, each is connected with all others, and a broadcast takes one hop.
+MAX_MESHED_VMS = 24
+REFRESH_INTERVAL_S = 0.2
+# How long a connection opened on demand stays open after its last use.
+ON_DEMAND_RETENTION_S = 20.0
+CALL_TIMEOUT_S = 1.0
+# How long a message without a reply waits for its connection.
+CONNECT_TIMEOUT_S = 1.0
+# The legs of a broadcast: from a VM to its head, between heads, from a head to its
+# subscribers.
 UP, ACROSS, DOWN = range(3)
 
 
 class FleetMesh:
-    """The mesh of one VM with the fleet; ``transport`` carries it.
+    """The mesh of one VM with the fleet, over the connections of ``transport``.
 
-    ``on_fed`` is called with each VM that begins to hear of the fleet from this one.
-    ``on_feed_changed`` is called with the head that feeds this one now, empty for none.
+    ``on_subscribed`` is called with each VM that subscribes to this one.
+    ``on_upstream_changed`` is called with the new upstream head, empty for none.
     """
 
     def __init__(
@@ -57,35 +56,35 @@
         *,
         transport: SparsePeerMesh,
         data_centre: str,
-        roster: Roster,
+        registered_order: RegisteredOrder,
         timers: TimerService,
         message_bytes: int,
     ):
         self._transport = transport
-        self._roster = roster
+        self._registered_order = registered_order
         self._timers = timers
         self._message_bytes = message_bytes
         self._used_at: dict[str, float] = {}
-        self._looking: Subscription | None = None
+        self._refreshing: Subscription | None = None
         self._tasks = TaskSet()
         self.table = MemberTable(timers)
-        # The number of the last change of members that the feeding head told.
-        self.fed_serial = NOTHING_TOLD
-        self.attachments = Attachments(timers)
+        # The number of the last change of members received from the upstream head.
+        self.upstream_serial = NO_SERIAL
+        self.subscribers = HeadSubscribers(timers)
         self.links = HeadLinks(
             vm=transport.vm,
             data_centre=data_centre,
-            roster=roster,
+            registered_order=registered_order,
             timers=timers,
-            heard_at=transport.heard_at,
-            told_silent=self._told_silent,
-            has_followers=lambda: bool(self.attachments.fed),
-            told_living=self._told_living,
+            last_seen_at=transport.last_seen_at,
+            reported_silent=self._reported_silent,
+            has_subscribers=lambda: bool(self.subscribers.subscribed),
+            reported_live=self._reported_live,
         )
-        self.on_fed: Callable[[str], None] = lambda vm: None
-        self.on_feed_changed: Callable[[str], None] = lambda head: None
-        transport.on(ForwardedMessage, self._on_passed)
-        transport.beat_only(self._beaten)
+        self.on_subscribed: Callable[[str], None] = lambda vm: None
+        self.on_upstream_changed: Callable[[str], None] = lambda head: None
+        transport.on(ForwardedMessage, self._on_forwarded)
+        transport.limit_heartbeats_to(self._heartbeat_vms)
 
     @property
     def vm(self) -> str:
@@ -99,59 +98,60 @@
 
     @property
     def address(self) -> str:
-        """The address on which this VM hears other VMs."""
+        """The address on which this VM accepts connections of other VMs."""
         return self._transport.address
 
     @property
     def myself(self) -> PeerInfo:
-        """This VM, as the sender of what it says to itself."""
+        """This VM, as the sender of messages to itself."""
         return self._transport.myself
 
     @property
     def large(self) -> bool:
-        """Whether there are so many VMs that they hear of each other through heads."""
-        return self._roster.count > MOST_SMALL
+        """Whether the fleet is so large that updates go through heads."""
+        return self._registered_order.count > MAX_MESHED_VMS
 
     @property
     def is_head(self) -> bool:
-        """Whether this VM passes on what others tell."""
+        """Whether this VM forwards the updates of others."""
         return self.links.is_head
 
     @property
-    def feed(self) -> str:
-        """The head from which this VM hears of the fleet, empty if there is none."""
-        return self.links.feed
+    def upstream_head(self) -> str:
+        """The head that this VM receives fleet updates from, empty if there is none."""
+        return self.links.upstream_head
 
     @property
     def other_heads(self) -> list[str]:
-        """The connected heads that a head tells of the VMs that it feeds."""
-        heads = dict.fromkeys((*self.links.kept, *self.attachments.heads))
+        """The connected heads that a head exchanges updates with."""
+        heads = dict.fromkeys((*self.links.peers, *self.subscribers.heads))
         return [vm for vm in heads if self._transport.connected(vm)]
 
     @property
     def live(self) -> tuple[PeerInfo, ...]:
-        """The other VMs that live, as far as this one knows.
+        """The other VMs that this one knows to be live.
 
-        They are those it is connected with, and those that heads have told of.
+        They are those it is connected with, and those that heads have reported.
         """
         direct = {peer.vm: peer for peer in self._transport.live}
         if not self.large:
             return tuple(direct.values())
-        for state in self.table.living():
+        for state in self.table.live():
             if state.vm == self.vm:
                 continue
             known = direct.get(state.vm)
             if known is not None and known.incarnation != state.incarnation:
-                # It has started again, which the heads will tell.
+                # It has restarted, which the heads have not reported yet.
                 continue
-            told = self._told_info(state)
-            if told is not None:
-                heard_at = max(told.heard_at, known.heard_at if known else 0.0)
-                direct[state.vm] = told._replace(heard_at=heard_at)
+            reported = self._reported_info(state)
+            if reported is not None:
+                direct_at = known.last_seen_at if known else 0.0
+                seen_at = max(reported.last_seen_at, direct_at)
+                direct[state.vm] = reported._replace(last_seen_at=seen_at)
         return tuple(direct.values())
 
     def on(self, message_type: type, handler: Handler) -> None:
-        """Let ``handler`` answer messages of a type; there is one for each type."""
+        """Register the handler of a message type; there is one for each type."""
         self._transport.on(message_type, handler)
 
     async def answer(self, sender: PeerInfo, message: Any) -> Any:
@@ -163,82 +163,85 @@
         await self._transport.listen()
 
     def start(self) -> None:
-        """Begin to connect with other VMs."""
+        """Start connecting with other VMs."""
         self._transport.start()
-        self._looking = self._timers.every(LOOK_S, self.look, name="links")
+        self._refreshing = self._timers.every(
+            REFRESH_INTERVAL_S, self.refresh, name="links"
+        )
 
     async def stop(self) -> None:
         """Close all connections."""
-        if self._looking is not None:
-            self._looking.cancel()
+        if self._refreshing is not None:
+            self._refreshing.cancel()
         self._tasks.cancel()
         await self._transport.stop()
 
     def heartbeat_changed(self) -> None:
-        """Tell the connected VMs at once what this VM's heartbeat says."""
+        """Send a heartbeat to the connected VMs at once."""
         self._transport.heartbeat_changed()
 
     def set_heartbeat(self, source: Callable[[], Heartbeat]) -> None:
-        """Let ``source`` tell what is sent to the connected VMs again and again."""
+        """Set the function that returns the heartbeat to send."""
         self._transport.heartbeat_source = source
 
-    def look(self) -> None:
-        """Open and close connections by what is known now."""
-        feed = self.feed
-        self.links.look(self.large)
-        if self.feed != feed:
-            # Another head numbers its changes anew, and none has told those of between.
-            self.fed_serial = NOTHING_TOLD
-            self.on_feed_changed(self.feed)
+    def refresh(self) -> None:
+        """Open and close connections according to the current state."""
+        upstream_head = self.upstream_head
+        self.links.refresh(self.large)
+        if self.upstream_head != upstream_head:
+            # Another head numbers its changes on its own, and changes during the switch
+            # were not received.
+            self.upstream_serial = NO_SERIAL
+            self.on_upstream_changed(self.upstream_head)
         if self.is_head:
             self.table.expire()
-        unused = self._timers.now() - USED_KEPT_S
+        used_after = self._timers.now() - ON_DEMAND_RETENTION_S
         for vm, used_at in tuple(self._used_at.items()):
-            if used_at < unused:
+            if used_at < used_after:
                 del self._used_at[vm]
-        kept = self.links.kept
-        eager = {*self._used_at, *(self.links.near if not self.is_head else ())}
+        peers = self.links.peers
+        eager = {*self._used_at, *(self.links.local_heads if not self.is_head else ())}
         addresses = {}
-        for vm in (*kept, *self._used_at):
-            record = self._roster.records.get(vm)
+        for vm in (*peers, *self._used_at):
+            record = self._registered_order.records.get(vm)
             if record is not None and vm != self.vm:
                 addresses[vm] = record.peer_address
         self._transport.set_links(addresses, eager)
 
     async def call(
-        self, vm: str, message: Any, timeout_s: float = CALL_S
+        self, vm: str, message: Any, timeout_s: float = CALL_TIMEOUT_S
     ) -> Result[Any, Failure]:
-        """Send a message to one VM and wait for its reply, connecting if need be.
+        """Send a message to one VM and wait for its reply, connecting on demand.
 
-        Fails as ``PeerMesh.call`` does. A connection on which nothing came meanwhile
-        is closed, so that the next call has a fresh one.
+        Fails as ``PeerMesh.call`` does. A connection that received nothing during the
+        call is closed, so that the next call uses a fresh one.
         """
-        began_at = self._timers.now()
-        if vm != self.vm and not await self._reach(vm, timeout_s):
+        started_at = self._timers.now()
+        if vm != self.vm and not await self._connect(vm, timeout_s):
             return unavailable(f"{vm} can't be connected")
-        left_s = began_at + timeout_s - self._timers.now()
-        reply = await self._transport.call(vm, message, max(0.0, left_s))
+        remaining_s = started_at + timeout_s - self._timers.now()
+        reply = await self._transport.call(vm, message, max(0.0, remaining_s))
         if isinstance(reply, Err) and vm != self.vm:
-            heard_at = self._transport.heard_at(vm)
-            unheard = heard_at is not None and heard_at < began_at
-            if unheard and reply.err_value.kind is ErrorKind.PEER_UNAVAILABLE:
+            last_seen_at = self._transport.last_seen_at(vm)
+            silent = last_seen_at is not None and last_seen_at < started_at
+            if silent and reply.err_value.kind is ErrorKind.PEER_UNAVAILABLE:
                 self._transport.drop(vm)
         return reply
 
     def cast(self, vm: str, message: Any) -> None:
-        """Send a message that needs no reply to one VM, connecting if need be."""
+        """Send a message without a reply to one VM, connecting on demand."""
         if vm == self.vm or self._transport.connected(vm):
-            self._use(vm)
+            self._record_use(vm)
             self._transport.cast(vm, message)
             return
-        self._tasks.spawn(self._cast_once_reached(vm, message))
+        self._tasks.spawn(self._cast_once_connected(vm, message))
 
     def cast_to(self, vms: Iterable[str], message: Any) -> None:
-        """Send a message that needs no reply to some connected VMs."""
+        """Send a message without a reply to some connected VMs."""
         self._transport.cast_to(tuple(vms), message)
 
     def broadcast(self, message: Any) -> None:
-        """Send a message that needs no reply to all other VMs."""
+        """Send a message without a reply to all other VMs."""
         if not self.large:
             self._transport.broadcast(message)
             return
@@ -247,76 +250,78 @@
         origin = (myself.vm, myself.incarnation, myself.data_centre, myself.address)
         if self.is_head:
             self.cast_to(self.other_heads, ForwardedMessage(*origin, ACROSS, frame))
-            self.cast_to(self.attachments.fed, ForwardedMessage(*origin, DOWN, frame))
-        elif self.feed:
-            self.cast_to((self.feed,), ForwardedMessage(*origin, UP, frame))
-
-    # Messages on their way
-
-    async def _on_passed(self, sender: PeerInfo, passed: ForwardedMessage) -> None:
-        """Pass a message on, and have it handled here as if its sender had sent it."""
-        if passed.leg == UP:
-            across = passed._replace(leg=ACROSS)
+            self.cast_to(
+                self.subscribers.subscribed, ForwardedMessage(*origin, DOWN, frame)
+            )
+        elif self.upstream_head:
+            self.cast_to((self.upstream_head,), ForwardedMessage(*origin, UP, frame))
+
+    # Forwarding
+
+    async def _on_forwarded(self, sender: PeerInfo, message: ForwardedMessage) -> None:
+        """Forward a message, and handle it here as one from its original sender."""
+        if message.leg == UP:
+            across = message._replace(leg=ACROSS)
             self.cast_to([vm for vm in self.other_heads if vm != sender.vm], across)
-        if passed.leg in (UP, ACROSS):
-            below = [vm for vm in self.attachments.fed if vm != passed.vm]
-            self.cast_to(below, passed._replace(leg=DOWN))
-        frame = decode(passed.frame, self._message_bytes)
-        if frame.is_err() or passed.vm == self.vm:
+        if message.leg in (UP, ACROSS):
+            subscribers = [vm for vm in self.subscribers.subscribed if vm != message.vm]
+            self.cast_to(subscribers, message._replace(leg=DOWN))
+        frame = decode(message.frame, self._message_bytes)
+        if frame.is_err() or message.vm == self.vm:
             return
         origin = PeerInfo(
-            passed.vm,
-            passed.incarnation,
-            passed.data_centre,
-            passed.address,
+            message.vm,
+            message.incarnation,
+            message.data_centre,
+            message.address,
             None,
             self._timers.now(),
         )
-        await self._transport.notice(origin, frame.ok_value.message)
+        await self._transport.dispatch(origin, frame.ok_value.message)
 
-    async def _cast_once_reached(self, vm: str, message: Any) -> None:
-        if await self._reach(vm, CAST_WAIT_S):
+    async def _cast_once_connected(self, vm: str, message: Any) -> None:
+        if await self._connect(vm, CONNECT_TIMEOUT_S):
             self._transport.cast(vm, message)
 
-    async def _reach(self, vm: str, wait_s: float) -> bool:
-        if vm not in self._roster.records:
+    async def _connect(self, vm: str, timeout_s: float) -> bool:
+        if vm not in self._registered_order.records:
             return self._transport.connected(vm)
-        known = vm in self._used_at
-        self._use(vm)
+        in_use = vm in self._used_at
+        self._record_use(vm)
         if self._transport.connected(vm):
             return True
-        if not known:
-            self.look()
-        return await self._transport.reach(vm, wait_s)
+        if not in_use:
+            self.refresh()
+        return await self._transport.wait_connected(vm, timeout_s)
 
-    def _use(self, vm: str) -> None:
-        if vm != self.vm and vm not in self.links.kept:
+    def _record_use(self, vm: str) -> None:
+        if vm != self.vm and vm not in self.links.peers:
             self._used_at[vm] = self._timers.now()
 
-    # What is known of others
+    # Observed state of other VMs
 
-    def _beaten(self) -> set[str]:
+    def _heartbeat_vms(self) -> set[str]:
         """Return the VMs whose connections with this one carry heartbeats."""
-        return {*self.links.kept, *self.attachments.all, *self.attachments.heads}
+        return {*self.links.peers, *self.subscribers.all, *self.subscribers.heads}
 
-    def _told_silent(self, vm: str) -> bool:
-        """Whether a head says now that a VM is silent."""
-        return bool(self.feed) and self.table.silent(vm)
+    def _reported_silent(self, vm: str) -> bool:
+        """Whether the upstream head currently reports a VM as silent."""
+        return bool(self.upstream_head) and self.table.is_silent(vm)
 
-    def _told_living(self, vm: str) -> bool:
+    def _reported_live(self, vm: str) -> bool:
         state = self.table.states.get(vm)
         return state is not None and not state.silent
 
-    def _told_info(self, state: MemberState) -> PeerInfo | None:
-        record = self._roster.records.get(state.vm)
+    def _reported_info(self, state: MemberState) -> PeerInfo | None:
+        record = self._registered_order.records.get(state.vm)
         if record is None:
             return None
-        beat = Heartbeat(0, 0, state.leaving, 0, 1 if state.serving else 0, 0.0)
+        heartbeat = Heartbeat(0, 0, state.leaving, 0, 1 if state.serving else 0, 0.0)
         return PeerInfo(
             state.vm,
             state.incarnation,
             record.data_centre,
             record.peer_address,
-            beat,
-            self.table.told_at(state.vm),
+            heartbeat,
+            self.table.last_reported_at(state.vm),
         )
--- a/hawthornlead/fleet/member_tables.py
+++ b/hawthornlead/fleet/member_tables.py
@@ -1,28 +1,29 @@
-"""What one VM was told of the members of the fleet, and what of it is new to others.
+"""The observed state of all members of the fleet, with numbered changes.
 
-A head numbers the changes that it hears of, so that the VMs that it feeds are told only
-these, and all members anew when they missed some::
+A head numbers the changes that it observes, so that it sends its subscribers only
+these, and all members when a subscriber has missed some::
 
-    table.note(state)
-    changes = table.since(serial)
+    table.apply(state)
+    changes = table.changes_since(serial)
 """
 
 from ..messages.fleets import MemberState
 from ..timers import TimerService
 
-# A member that nobody spoke of for so long is silent. Its head says so sooner; this
-# holds where both are gone, and bears that its VMs turn from one head to another.
-UNTOLD_S = 2.0
+# A member that no update has mentioned for this long is silent. Its head reports that
+# sooner. This covers the loss of both heads, and allows for the time in which the VMs
+# switch from one head to another.
+MEMBER_STATE_TTL_S = 2.0
 
 
 class MemberTable:
-    """The newest state of each member, and when it was last spoken of."""
+    """The newest state of each member, and when it was last reported."""
 
     def __init__(self, timers: TimerService):
         self._timers = timers
         self._states: dict[str, MemberState] = {}
-        self._told_at: dict[str, float] = {}
-        self._changed: dict[str, int] = {}
+        self._last_reported_at: dict[str, float] = {}
+        self._changed_serials: dict[str, int] = {}
         self._serial = 0
 
     @property
@@ -35,68 +36,68 @@
         """The newest state of each member."""
         return self._states
 
-    def told_at(self, vm: str) -> float:
-        """Return when a member was last spoken of as one that lives."""
-        return self._told_at.get(vm, 0.0)
+    def last_reported_at(self, vm: str) -> float:
+        """Return when a member was last reported as live."""
+        return self._last_reported_at.get(vm, 0.0)
 
-    def silent(self, vm: str) -> bool:
-        """Whether a member was told to be silent."""
+    def is_silent(self, vm: str) -> bool:
+        """Whether a member was reported silent."""
         state = self._states.get(vm)
         return state is not None and state.silent
 
-    def living(self) -> tuple[MemberState, ...]:
+    def live(self) -> tuple[MemberState, ...]:
         """Return the members that aren't silent."""
         return tuple([state for state in self._states.values() if not state.silent])
 
-    def note(self, state: MemberState) -> bool:
-        """Take a member's state; whether it changes what is known.
+    def apply(self, state: MemberState) -> bool:
+        """Apply a member's state; return whether it is a change.
 
-        That an earlier process of a VM is silent says nothing of the one that has
-        started since, which another head may have told of first.
+        The silence of an earlier process of a VM says nothing about the process that
+        has started since, which another head may have reported first.
         """
         known = self._states.get(state.vm)
         if state.silent:
             if known is None or known.incarnation != state.incarnation:
                 return False
         else:
-            self._told_at[state.vm] = self._timers.now()
+            self._last_reported_at[state.vm] = self._timers.now()
         if known == state:
             return False
         self._serial += 1
         self._states[state.vm] = state
-        self._changed[state.vm] = self._serial
+        self._changed_serials[state.vm] = self._serial
         return True
 
     def expire(self) -> None:
-        """Take members for silent that nobody has spoken of lately."""
-        oldest = self._timers.now() - UNTOLD_S
-        for state in self.living():
-            if self.told_at(state.vm) < oldest:
-                self.note(state._replace(silent=True))
-
-    def since(self, serial: int) -> tuple[MemberState, ...]:
-        """Return the states that changed after a change."""
+        """Mark members as silent that have not been reported recently."""
+        oldest = self._timers.now() - MEMBER_STATE_TTL_S
+        for state in self.live():
+            if self.last_reported_at(state.vm) < oldest:
+                self.apply(state._replace(silent=True))
+
+    def changes_since(self, serial: int) -> tuple[MemberState, ...]:
+        """Return the states that changed after the change with this number."""
         if serial == self._serial:
             return ()
         return tuple(
             [
                 self._states[vm]
-                for vm, changed in self._changed.items()
+                for vm, changed in self._changed_serials.items()
                 if changed > serial
             ]
         )
 
-    def replace(self, states: tuple[MemberState, ...]) -> None:
-        """Take these for all members there are."""
-        told = {state.vm for state in states}
-        for state in self.living():
-            if state.vm not in told:
-                self.note(state._replace(silent=True))
+    def replace_all(self, states: tuple[MemberState, ...]) -> None:
+        """Apply the states of all members; those not among them are silent."""
+        reported = {state.vm for state in states}
+        for state in self.live():
+            if state.vm not in reported:
+                self.apply(state._replace(silent=True))
         for state in states:
-            self.note(state)
+            self.apply(state)
 
-    def confirm(self) -> None:
-        """Note that all members were spoken of again, without a change."""
+    def confirm_all(self) -> None:
+        """Record that all live members were reported again, without a change."""
         now = self._timers.now()
-        for state in self.living():
-            self._told_at[state.vm] = now
+        for state in self.live():
+            self._last_reported_at[state.vm] = now
--- a/hawthornlead/gateway/engine_rooms.py
+++ b/hawthornlead/gateway/engine_rooms.py
@@ -112,7 +112,7 @@
         self._subscriptions = []
         targets.subscribe_restarts(self._on_restarted)
         targets.subscribe(lambda lost, _: self._holding_words.forget(lost.target))
-        mesh.on_fed = self._holding_words.tell_all
+        mesh.on_subscribed = self._holding_words.tell_all
         mesh.on(LoadAdapter, self._on_load)
         mesh.on(ReservePrompt, self._on_reserve)
         mesh.on(AdapterMissing, self._on_missing)
--- a/hawthornlead/gateway/fleet_views.py
+++ b/hawthornlead/gateway/fleet_views.py
@@ -119,7 +119,7 @@
             "incarnation": self._memberships.incarnation,
             "serving": self._memberships.serving,
             "head": self._mesh.is_head,
-            "fed_by": self._mesh.feed,
+            "fed_by": self._mesh.upstream_head,
             "relays": self._memberships.relay_order(RELAYS),
             "store_heard_s": round(now - self._client.answered_at, 2),
             "lease_left_s": round(self._lease.left_s, 2),
@@ -152,14 +152,14 @@
 
     def _members(self, now: float) -> list[MemberRow]:
         live = {peer.vm: peer for peer in self._mesh.live}
-        heads = {*self._mesh.links.near, *self._mesh.other_heads}
+        heads = {*self._mesh.links.local_heads, *self._mesh.other_heads}
         if self._mesh.is_head:
             heads.add(self._memberships.vm)
-        roster = self._memberships.roster
-        order = sorted(roster.records, key=roster.registered_at)
+        registered_order = self._memberships.registered_order
+        order = sorted(registered_order.records, key=registered_order.registered_at)
         rows: list[MemberRow] = []
         for vm in order[:MOST_SHOWN]:
-            record = roster.records[vm]
+            record = registered_order.records[vm]
             peer = live.get(vm)
             state = "silent"
             heard_s = None
@@ -168,7 +168,7 @@
                 heard_s = 0.0
             elif peer is not None and self._memberships.reaches(vm):
                 state = _state_of(peer.heartbeat)
-                heard_s = round(now - peer.heard_at, 2)
+                heard_s = round(now - peer.last_seen_at, 2)
             rows.append(
                 {
                     "vm": vm,
@@ -176,7 +176,7 @@
                     "role": "head" if vm in heads else "",
                     "state": "leaving" if record.leaving else state,
                     "heard_s": heard_s,
-                    "revision": roster.registered_at(vm),
+                    "revision": registered_order.registered_at(vm),
                 }
             )
         return rows
--- a/hawthornlead/gateway/gateway_parts.py
+++ b/hawthornlead/gateway/gateway_parts.py
@@ -16,7 +16,7 @@
 from ..decisions.retries import Retries
 from ..decisions.suspects import Suspects
 from ..fleet.fleet_meshes import FleetMesh
-from ..fleet.rosters import Roster
+from ..fleet.registered_orders import RegisteredOrder
 from ..mesh.sparse_peers import SparsePeerMesh
 from .crash_watches import CrashWatch
 from .engine_calls import EngineCalls
@@ -155,11 +155,11 @@
         incarnation=incarnation,
         rng=rng,
     )
-    roster = Roster()
+    registered_order = RegisteredOrder()
     mesh = FleetMesh(
         transport=transport,
         data_centre=settings["DATA_CENTRE"],
-        roster=roster,
+        registered_order=registered_order,
         timers=timers,
         message_bytes=settings["MAX_MESSAGE_BYTES"],
     )
@@ -178,7 +178,7 @@
         timers=timers,
         rng=rng,
         events=events,
-        roster=roster,
+        registered_order=registered_order,
     )
     lease = VmLease(
         vm=vm,
@@ -203,7 +203,7 @@
         now=timers.now,
         rng=rng,
         share=lambda: memberships.heard_share,
-        vms=lambda: roster.count or UNKNOWN_VMS,
+        vms=lambda: registered_order.count or UNKNOWN_VMS,
     )
     return Coordination(client, mesh, memberships, lease, ownerships, relays, quotas)
 
@@ -265,7 +265,7 @@
         rng=core.rng,
         events=core.events,
         mesh=mesh,
-        vms=lambda: coordination.memberships.roster.count or UNKNOWN_VMS,
+        vms=lambda: coordination.memberships.registered_order.count or UNKNOWN_VMS,
         incarnation=known.targets.incarnation,
     )
     metrics.watch(
--- a/hawthornlead/gateway/gateways.py
+++ b/hawthornlead/gateway/gateways.py
@@ -117,7 +117,7 @@
         self._questions = self._make_questions()
         self._mesh.set_heartbeat(self._heartbeat)
         self._mesh.on(Hello, self._on_hello)
-        self._mesh.on_feed_changed = self._note_feed
+        self._mesh.on_upstream_changed = self._note_feed
 
     async def start(self) -> None:
         """Listen, and begin to learn from the store and the other VMs."""
--- a/hawthornlead/gateway/holding_words.py
+++ b/hawthornlead/gateway/holding_words.py
@@ -91,7 +91,7 @@
 
     async def _pass_on(self) -> None:
         await self._timers.sleep(GATHER_S)
-        while not self._mesh.is_head and not self._mesh.feed:
+        while not self._mesh.is_head and not self._mesh.upstream_head:
             await self._timers.sleep(GATHER_S)
         self._pass_words()
 
@@ -101,18 +101,18 @@
         gathered = GatheredHoldings(tuple(near.values()))
         if not self._mesh.is_head:
             if near:
-                self._mesh.cast_to((self._mesh.feed,), gathered)
+                self._mesh.cast_to((self._mesh.upstream_head,), gathered)
             return
         if near:
             self._mesh.cast_to(self._mesh.other_heads, gathered)
         both = GatheredHoldings((*far.values(), *near.values()))
-        self._mesh.cast_to(self._mesh.attachments.fed, both)
+        self._mesh.cast_to(self._mesh.subscribers.subscribed, both)
 
     async def _take_direct(self, sender, message: TargetHoldings) -> None:
         self._on_told(sender.vm, message)
 
     async def _take_gathered(self, sender, message: GatheredHoldings) -> None:
-        from_below = sender.vm in self._mesh.attachments.all
+        from_below = sender.vm in self._mesh.subscribers.all
         passes_on = self._mesh.is_head
         for word in message.words:
             if word.vm == self._mesh.vm:
--- a/hawthornlead/gateway/load_words.py
+++ b/hawthornlead/gateway/load_words.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 
 from ..decisions.quotas import QuotaLedger
-from ..fleet.attachments import NOTHING_TOLD, Attachment
 from ..fleet.fleet_meshes import FleetMesh
+from ..fleet.head_subscribers import NO_SERIAL, HeadSubscriber
 from ..messages.fleets import (
     FleetUpdate,
     GroupUpdate,
@@ -112,7 +112,7 @@
         if not self._mesh.is_head:
             self._tell_heads(state, word)
             return
-        self._mesh.table.note(state)
+        self._mesh.table.apply(state)
         self._count_quotas()
         told = MemberLoads(state, word.loads, self._quotas.told_uses())
         self._note_near(told)
@@ -121,19 +121,19 @@
 
     def _count_quotas(self) -> None:
         """Count the quotas by what all VMs tell, where this VM knows who they are."""
-        if self._memberships.roster.count:
+        if self._memberships.registered_order.count:
             self._quotas.note_counting()
 
     def _tell_heads(self, state: MemberState, word: VmLoads) -> None:
         """Tell the heads of this data centre, one of which feeds this VM."""
-        feed, serial = self._mesh.feed, self._mesh.fed_serial
+        feed, serial = self._mesh.upstream_head, self._mesh.upstream_serial
         owned = self._owned()
-        for head in self._mesh.links.near:
+        for head in self._mesh.links.local_heads:
             if head == feed:
                 uses = self._quotas.told_uses()
                 message = MemberUpdate(state, True, serial, owned, word.loads, uses)
             else:
-                message = MemberUpdate(state, False, NOTHING_TOLD, (), ())
+                message = MemberUpdate(state, False, NO_SERIAL, (), ())
             self._mesh.cast_to((head,), message)
 
     # What a head does
@@ -142,12 +142,12 @@
         """Say once of each VM fed here that it fell silent."""
         silent_after = self._timers.now() - SILENT_S
         table = self._mesh.table
-        for vm, attachment in self._mesh.attachments.all.items():
+        for vm, attachment in self._mesh.subscribers.all.items():
             # Another head may feed it by now.
-            if not attachment.fed or table.told_at(vm) >= silent_after:
+            if not attachment.subscribed or table.last_reported_at(vm) >= silent_after:
                 continue
             state = table.states[vm]._replace(silent=True)
-            if table.note(state):
+            if table.apply(state):
                 self._note_near(MemberLoads(state, ()))
 
     def _note_near(self, told: MemberLoads) -> None:
@@ -169,17 +169,17 @@
         near, self._near_words = self._near_words, {}
         words, self._words = self._words, {}
         self._mesh.cast_to(self._mesh.other_heads, GroupUpdate(tuple(near.values())))
-        attached = self._mesh.attachments.all
+        attached = self._mesh.subscribers.all
         if not attached:
             return
         running = self._loads.totals()
         self._tell_changes(attached, running)
         for vm, attachment in attached.items():
-            if attachment.fed and attachment.owned:
+            if attachment.subscribed and attachment.owned:
                 self._tell_uses(vm, attachment, words)
 
     def _tell_changes(
-        self, attached: dict[str, Attachment], running: tuple[TargetRunning, ...]
+        self, attached: dict[str, HeadSubscriber], running: tuple[TargetRunning, ...]
     ) -> None:
         """Tell those that are fed here of members that changed, and of all targets."""
         table = self._mesh.table
@@ -187,21 +187,23 @@
         self._told_serial = serial
         up_to_date, behind = [], []
         for vm, attachment in attached.items():
-            if not attachment.fed:
+            if not attachment.subscribed:
                 continue
             (up_to_date if attachment.serial == since else behind).append(vm)
             attachment.serial = serial
         states, share = self._quotas.states(), self._memberships.heard_share
         quotas = (states, share) if states else ()
-        changes = FleetUpdate(since, serial, table.since(since), running, *quotas)
+        changes = FleetUpdate(
+            since, serial, table.changes_since(since), running, *quotas
+        )
         self._mesh.cast_to(up_to_date, changes)
         if behind:
-            living = table.living()
-            whole = FleetUpdate(NOTHING_TOLD, serial, living, running, *quotas)
+            living = table.live()
+            whole = FleetUpdate(NO_SERIAL, serial, living, running, *quotas)
             self._mesh.cast_to(behind, whole)
 
     def _tell_uses(
-        self, vm: str, attachment: Attachment, words: dict[str, MemberLoads]
+        self, vm: str, attachment: HeadSubscriber, words: dict[str, MemberLoads]
     ) -> None:
         """Tell a VM which requests use adapters of the targets that it orders."""
         told = []
@@ -210,25 +212,27 @@
             loads = _on_targets(word.loads, attachment.owned)
             if loads:
                 using.add(other)
-            if loads or other in attachment.told_of:
+            if loads or other in attachment.forwarded_vms:
                 told.append(ForwardedLoads(other, loads))
-        attachment.told_of = (attachment.told_of - set(words)) | using
+        attachment.forwarded_vms = (attachment.forwarded_vms - set(words)) | using
         if told:
             self._mesh.cast_to((vm,), GatheredLoads(tuple(told)))
 
     async def _take_member(self, sender, message: MemberUpdate) -> None:
         """Take the word of a VM that has chosen this one for a head."""
         vm = sender.vm
-        attachments = self._mesh.attachments
-        begins = attachments.note(vm, message.fed, message.owned, message.serial)
-        changed = self._mesh.table.note(message.state)
-        if not message.fed:
+        attachments = self._mesh.subscribers
+        begins = attachments.apply_update(
+            vm, message.subscribed, message.owned, message.serial
+        )
+        changed = self._mesh.table.apply(message.state)
+        if not message.subscribed:
             return
         self._note_near(MemberLoads(message.state, message.loads, message.quotas))
         self._quotas.take_uses(message.quotas)
         self._take(vm, VmLoads(message.loads))
         if begins:
-            self._mesh.on_fed(vm)
+            self._mesh.on_subscribed(vm)
         if changed or begins or self._surges():
             self._hurry()
 
@@ -238,7 +242,7 @@
 
     async def _take_group(self, sender, message: GroupUpdate) -> None:
         """Take another head's words on the VMs that it feeds."""
-        self._mesh.attachments.note_head(sender.vm)
+        self._mesh.subscribers.mark_head(sender.vm)
         if not self._mesh.is_head:
             # It hears of members from one head alone, which numbers what it tells.
             return
@@ -247,7 +251,7 @@
             vm = member.state.vm
             if vm == self._mesh.vm:
                 continue
-            changed |= self._mesh.table.note(member.state)
+            changed |= self._mesh.table.apply(member.state)
             self._quotas.take_uses(member.quotas)
             if not member.state.silent:
                 self._words[vm] = member
@@ -269,22 +273,22 @@
 
     async def _take_fleet(self, sender, message: FleetUpdate) -> None:
         """Take a head's word on members and targets."""
-        if sender.vm != self._mesh.feed:
+        if sender.vm != self._mesh.upstream_head:
             return
         self._loads.take_totals(message.running)
         self._quotas.take_states(message.quotas, message.quota_share)
         table = self._mesh.table
-        if message.since == NOTHING_TOLD:
-            table.replace(message.members)
-        elif message.since == self._mesh.fed_serial:
+        if message.since == NO_SERIAL:
+            table.replace_all(message.members)
+        elif message.since == self._mesh.upstream_serial:
             for state in message.members:
-                table.note(state)
+                table.apply(state)
         else:
             # Changes in between were lost with a connection. All members are asked for.
-            self._mesh.fed_serial = NOTHING_TOLD
+            self._mesh.upstream_serial = NO_SERIAL
             return
-        table.confirm()
-        self._mesh.fed_serial = message.serial
+        table.confirm_all()
+        self._mesh.upstream_serial = message.serial
 
     async def _take_word(self, sender, message: VmLoads) -> None:
         self._quotas.take_uses(message.quotas)
--- a/hawthornlead/gateway/memberships.py
+++ b/hawthornlead/gateway/memberships.py
@@ -12,9 +12,9 @@
 
 from ..errors import ErrorKind
 from ..events import EventKind, EventRing
-from ..fleet.fleet_meshes import MOST_SMALL, FleetMesh
-from ..fleet.head_links import HEADS_EACH
-from ..fleet.rosters import Roster
+from ..fleet.fleet_meshes import MAX_MESHED_VMS, FleetMesh
+from ..fleet.head_links import HEADS_PER_DATA_CENTRE
+from ..fleet.registered_orders import RegisteredOrder
 from ..hashes import rendezvous
 from ..messages.fleets import MemberState
 from ..platform.objects import read_vm, vm_spec
@@ -62,11 +62,11 @@
         timers: TimerService,
         rng: Random,
         events: EventRing,
-        roster: Roster | None = None,
+        registered_order: RegisteredOrder | None = None,
     ):
         self._events = events
         self._record = record
-        self._roster = roster or Roster()
+        self._registered_order = registered_order or RegisteredOrder()
         self._client = client
         self._mesh = mesh
         self._timers = timers
@@ -96,9 +96,9 @@
         return self._record.incarnation
 
     @property
-    def roster(self) -> Roster:
+    def registered_order(self) -> RegisteredOrder:
         """The VMs that registered themselves."""
-        return self._roster
+        return self._registered_order
 
     @property
     def leaving(self) -> bool:
@@ -127,13 +127,13 @@
         """Which part of all VMs that stay is heard, this one included."""
         self._look()
         heard = len(self._heard) + 1
-        return heard / max(heard, self._roster.count)
+        return heard / max(heard, self._registered_order.count)
 
     @property
     def known(self) -> tuple[str, ...]:
         """The VMs that registered themselves, and those that the mesh reaches."""
         reached = [peer.vm for peer in self._mesh.live]
-        return tuple({*self._roster.records, *reached})
+        return tuple({*self._registered_order.records, *reached})
 
     def start(self) -> None:
         """Begin to register."""
@@ -162,7 +162,7 @@
 
     def take(self, record: StoredRecord) -> None:
         """Note a VM's object in the store."""
-        self._roster.take(read_vm(record), record.revision)
+        self._registered_order.apply(read_vm(record), record.revision)
         self._forget_orders()
 
     def keep_unreadable(self, name: str) -> None:
@@ -179,12 +179,12 @@
 
     def drop(self, name: str) -> None:
         """Note that a VM's object was removed."""
-        self._roster.drop(name)
+        self._registered_order.remove(name)
         self._forget_orders()
 
     def record_of(self, vm: str) -> VmRecord | None:
         """Return how a VM registered itself, None if it is unknown."""
-        return self._roster.records.get(vm)
+        return self._registered_order.records.get(vm)
 
     def live(self) -> tuple[str, ...]:
         """Return this VM and those heard lately that aren't leaving."""
@@ -217,7 +217,7 @@
         self._look()
         if not self._eldest:
             order = self.order_for(ELDEST_NAME)
-            self._eldest = sorted(order, key=self._roster.registered_at)
+            self._eldest = sorted(order, key=self._registered_order.registered_at)
         return self._eldest[:count]
 
     def relay_order(self, count: int) -> list[str]:
@@ -232,8 +232,8 @@
         heads, others = [], []
         taken: Counter[str] = Counter()
         for vm in self.eldest(len(self._live)):
-            record = self._roster.records.get(vm)
-            if record is None or taken[record.data_centre] >= HEADS_EACH:
+            record = self._registered_order.records.get(vm)
+            if record is None or taken[record.data_centre] >= HEADS_PER_DATA_CENTRE:
                 others.append(vm)
                 continue
             taken[record.data_centre] += 1
@@ -255,8 +255,10 @@
 
     def _choose_owners(self) -> frozenset[str]:
         heads: set[str] = set()
-        for place in self._roster.data_centres:
-            heads.update(self._roster.elders(place)[:HEADS_EACH])
+        for place in self._registered_order.data_centres:
+            heads.update(
+                self._registered_order.oldest_first(place)[:HEADS_PER_DATA_CENTRE]
+            )
         eldest = [vm for vm in self.eldest(len(self._live)) if vm not in heads]
         return frozenset(eldest[:MOST_OWNERS])
 
@@ -271,11 +273,11 @@
             return
         self._looked_at = now
         peers = self._mesh.live
-        self._large = max(self._roster.count, len(peers) + 1) > MOST_SMALL
+        self._large = max(self._registered_order.count, len(peers) + 1) > MAX_MESHED_VMS
         silent_s = LARGE_SILENT_S if self._large else SILENT_S
         self._heard_after = heard_after = now - silent_s
         self._heard = frozenset(
-            [peer.vm for peer in peers if peer.heard_at >= heard_after]
+            [peer.vm for peer in peers if peer.last_seen_at >= heard_after]
         )
         names = [] if self._record.leaving else [self.vm]
         names += [peer.vm for peer in peers if self._is_live(peer)]
@@ -296,7 +298,7 @@
         addresses = [self._record.caller_address] if self.serving else []
         self._look()
         for peer in self._mesh.live:
-            known = self._roster.records.get(peer.vm)
+            known = self._registered_order.records.get(peer.vm)
             if known is None or known.incarnation != peer.incarnation:
                 continue
             if known.leaving or not self._is_live(peer):
@@ -310,7 +312,7 @@
     def _is_live(self, peer) -> bool:
         if peer.heartbeat is None or peer.heartbeat.draining:
             return False
-        return peer.heard_at >= self._heard_after
+        return peer.last_seen_at >= self._heard_after
 
     async def _register(self) -> None:
         """Write this VM's object until the store has taken it."""
--- a/hawthornlead/gateway/watch_relays.py
+++ b/hawthornlead/gateway/watch_relays.py
@@ -298,8 +298,8 @@
 
         In a large fleet these are heads, to which there are connections.
         """
-        if self._mesh.large and self._mesh.feed:
-            return [self._mesh.feed]
+        if self._mesh.large and self._mesh.upstream_head:
+            return [self._mesh.upstream_head]
         if self._mesh.large and self._mesh.is_head:
             vms = self._mesh.other_heads
         else:
@@ -311,7 +311,7 @@
 
     async def _catch_up(self, kind: str, relay: str) -> None:
         """Ask for changes that were missed of what a relay told."""
-        source = self._mesh.feed if self._mesh.large else ""
+        source = self._mesh.upstream_head if self._mesh.large else ""
         if source and await self._fetch_from(source, kind) and self.vouched(kind):
             return
         await self._fetch_from(relay, kind)
--- a/hawthornlead/mesh/connections.py
+++ b/hawthornlead/mesh/connections.py
@@ -45,7 +45,7 @@
 class Connection:
     """One connection, whichever end dialled it.
 
-    ``heard_at`` and ``opened_at`` are seconds of the ``TimerService``; ``reason``
+    ``last_seen_at`` and ``opened_at`` are seconds of the ``TimerService``; ``reason``
     says why this end closed it.
     """
 
@@ -58,7 +58,7 @@
         self._woken = asyncio.Event()
         self.dialled = dialled
         self.opened_at = now
-        self.heard_at = now
+        self.last_seen_at = now
         self.reason = ""
         self.hello: Hello | None = None
 
--- a/hawthornlead/mesh/heartbeats.py
+++ b/hawthornlead/mesh/heartbeats.py
@@ -51,7 +51,7 @@
         beaten = self._beaten() if self._beaten is not None else None
         silent = []
         for connection in connections:
-            if connection.heard_at >= heard_after:
+            if connection.last_seen_at >= heard_after:
                 continue
             hello = connection.hello
             if beaten is None or hello is None or hello.vm in beaten:
--- a/hawthornlead/mesh/meshes.py
+++ b/hawthornlead/mesh/meshes.py
@@ -17,7 +17,7 @@
 class PeerInfo(NamedTuple):
     """Another VM, as known from its connection.
 
-    ``heartbeat`` is its newest one, None before the first. ``heard_at`` is when
+    ``heartbeat`` is its newest one, None before the first. ``last_seen_at`` is when
     anything came from it last, in seconds of the ``TimerService``.
     """
 
@@ -26,7 +26,7 @@
     data_centre: str
     address: str
     heartbeat: Heartbeat | None
-    heard_at: float
+    last_seen_at: float
 
 
 Handler = Callable[[PeerInfo, Any], Awaitable[Any]]
@@ -101,7 +101,7 @@
             return Failed(ErrorKind.INTERNAL.value, detail)
         return Done() if reply is None else reply
 
-    async def notice(self, sender: PeerInfo, message: Any) -> None:
+    async def dispatch(self, sender: PeerInfo, message: Any) -> None:
         """Call the handler of a message if there is one; its reply is dropped."""
         if type(message) in self._handlers:
             await self.answer(sender, message)
--- a/hawthornlead/mesh/peer_sessions.py
+++ b/hawthornlead/mesh/peer_sessions.py
@@ -9,7 +9,7 @@
     """The connections with one incarnation of another VM."""
 
     def __init__(self, hello: Hello):
-        self._heard_at = 0.0
+        self._last_seen_at = 0.0
         self.hello = hello
         self.heartbeat: Heartbeat | None = None
         self.connections: list[Connection] = []
@@ -19,10 +19,10 @@
     def info(self) -> PeerInfo:
         """The VM as told to other parts."""
         for connection in self.connections:
-            self._heard_at = max(self._heard_at, connection.heard_at)
+            self._last_seen_at = max(self._last_seen_at, connection.last_seen_at)
         vm, incarnation, data_centre, address, _ = self.hello
         return PeerInfo(
-            vm, incarnation, data_centre, address, self.heartbeat, self._heard_at
+            vm, incarnation, data_centre, address, self.heartbeat, self._last_seen_at
         )
 
     def add(self, connection: Connection) -> None:
@@ -38,7 +38,7 @@
         first = own < self.hello.vm
         return max(
             self.connections,
-            key=lambda each: (each.heard_at > heard_after, each.dialled == first),
+            key=lambda each: (each.last_seen_at > heard_after, each.dialled == first),
         )
 
     def spare(self, own: str, opened_before: float) -> list[Connection]:
--- a/hawthornlead/mesh/peers.py
+++ b/hawthornlead/mesh/peers.py
@@ -257,7 +257,7 @@
         if peer is None:
             peer = self._peers[hello.vm] = PeerSession(hello)
         connection.hello = hello
-        connection.heard_at = self._timers.now()
+        connection.last_seen_at = self._timers.now()
         peer.add(connection)
         self._dialler.connected(hello.vm)
         self._metrics.peers_live.set(len(self._peers))
@@ -266,7 +266,7 @@
         )
         heartbeat = self.heartbeat_source()
         connection.send(self._encode(heartbeat).unwrap(), heartbeat)
-        self._tasks.spawn(self.notice(peer.info, hello))
+        self._tasks.spawn(self.dispatch(peer.info, hello))
         return peer
 
     def _dismiss(self, connection: Connection) -> None:
@@ -328,7 +328,7 @@
             if connection not in peer.connections:
                 return
             frame = outcome.unwrap()
-            connection.heard_at = self._timers.now()
+            connection.last_seen_at = self._timers.now()
             self._clock.observe(frame.at)
             self._take(peer, frame)
 
@@ -342,10 +342,10 @@
         if isinstance(message, Heartbeat):
             peer.heartbeat = message
             if Heartbeat in self._handlers:
-                self._tasks.spawn(self.notice(peer.info, message))
+                self._tasks.spawn(self.dispatch(peer.info, message))
             return
         if isinstance(message, Goodbye):
-            self._tasks.spawn(self.notice(peer.info, message))
+            self._tasks.spawn(self.dispatch(peer.info, message))
             self._end(peer, "goodbye")
             return
         self._tasks.spawn(self._handle(peer, frame))
--- a/hawthornlead/mesh/sparse_peers.py
+++ b/hawthornlead/mesh/sparse_peers.py
@@ -4,7 +4,7 @@
 are opened when somebody has a question, and are as good as their last answer::
 
     mesh.set_links(addresses, kept=frozenset(("gijon-1", "gijon-4")))
-    if await mesh.reach("bilbao-3", 0.1):
+    if await mesh.wait_connected("bilbao-3", 0.1):
         reply = await mesh.call("bilbao-3", question, 0.1)
 """
 
@@ -30,7 +30,7 @@
         """
         self._dialler.set_peers(addresses, eager)
 
-    def beat_only(self, beaten: Callable[[], Container[str]]) -> None:
+    def limit_heartbeats_to(self, beaten: Callable[[], Container[str]]) -> None:
         """Send heartbeats only to these VMs, and expect them only from these."""
         self._beats.only(beaten)
 
@@ -38,12 +38,12 @@
         """Whether a connection with a VM stands."""
         return vm in self._peers
 
-    def heard_at(self, vm: str) -> float | None:
+    def last_seen_at(self, vm: str) -> float | None:
         """Return when a connected VM was heard last, None if it isn't connected."""
         peer = self._peers.get(vm)
-        return peer.info.heard_at if peer is not None else None
+        return peer.info.last_seen_at if peer is not None else None
 
-    async def reach(self, vm: str, wait_s: float) -> bool:
+    async def wait_connected(self, vm: str, wait_s: float) -> bool:
         """Wait until a VM that is being dialled is connected; False if it isn't."""
         if vm in self._peers:
             return True
--- a/hawthornlead/messages/fleets.py
+++ b/hawthornlead/messages/fleets.py
@@ -19,15 +19,15 @@
 
 @message("member-word")
 class MemberUpdate(NamedTuple):
-    """What a VM tells its heads of itself.
+    """The periodic update of a VM for its heads.
 
-    ``fed`` asks the receiver to tell it of the fleet; ``serial`` is that of the last
-    change of members that it heard from there. It orders the targets ``owned``.
-    ``quotas`` is what it let through of workspaces with a quota since its last word.
+    ``subscribed`` requests fleet updates from the receiver; ``serial`` is that of the
+    last change of members received from there. The sender orders the targets ``owned``.
+    ``quotas`` is what it admitted of workspaces with a quota since its last update.
     """
 
     state: MemberState
-    fed: bool
+    subscribed: bool
     serial: int
     owned: tuple[str, ...]
     loads: tuple[TargetLoad, ...]
--- a/hawthornlead/operators/statuses.py
+++ b/hawthornlead/operators/statuses.py
@@ -83,7 +83,7 @@
             "vm": peer.vm,
             "data_centre": peer.data_centre,
             "address": peer.address,
-            "heard_s_ago": _ago(parts, peer.heard_at),
+            "heard_s_ago": _ago(parts, peer.last_seen_at),
         }
         for peer in sorted(parts.mesh.live, key=lambda peer: peer.vm)
     ]
--- a/hawthornlead/ownership/members.py
+++ b/hawthornlead/ownership/members.py
@@ -119,7 +119,7 @@
         now = self._timers.now()
         for info in self._mesh.live:
             if info.vm == vm:
-                return now - info.heard_at > longer_than_s
+                return now - info.last_seen_at > longer_than_s
         return True
 
     def proof_gone(self, vm: str, incarnation: str) -> str | None:
--- a/hawthornlead/tests/fakes_fleets.py
+++ b/hawthornlead/tests/fakes_fleets.py
@@ -15,7 +15,7 @@
 
 from hawthornlead.decisions.quotas import QuotaLedger
 from hawthornlead.fleet.fleet_meshes import FleetMesh
-from hawthornlead.fleet.rosters import Roster
+from hawthornlead.fleet.registered_orders import RegisteredOrder
 from hawthornlead.gateway.load_words import LoadWords
 from hawthornlead.gateway.records import VmRecord
 from hawthornlead.gateway.target_loads import TargetLoads
@@ -38,7 +38,7 @@
     def __init__(self, timers):
         super().__init__(timers)
         self._links: set[frozenset[str]] = set()
-        self._heard_at: dict[tuple[str, str], float] = {}
+        self._last_seen_at: dict[tuple[str, str], float] = {}
         self._frozen: set[str] = set()
         self.dialled = 0
 
@@ -86,7 +86,7 @@
         self.dialled += 1
         self._links.add(link)
         for one, other in ((a, b), (b, a)):
-            self._heard_at[one, other] = self._timers.now()
+            self._last_seen_at[one, other] = self._timers.now()
         self._greet(a, b)
 
     def close(self, a: str, b: str) -> None:
@@ -101,11 +101,11 @@
         """Name the VMs that a VM has a connection with."""
         return [other for other in self._meshes if self.linked(vm, other)]
 
-    def heard_at(self, a: str, b: str) -> float:
+    def last_seen_at(self, a: str, b: str) -> float:
         """When ``a`` last heard ``b``: now, as both beat, unless one is frozen."""
         if not {a, b} & self._frozen:
-            self._heard_at[a, b] = self._timers.now()
-        return self._heard_at[a, b]
+            self._last_seen_at[a, b] = self._timers.now()
+        return self._last_seen_at[a, b]
 
     def _lost(self, a: str, b: str, message_type: type) -> bool:
         return bool({a, b} & self._frozen) or super()._lost(a, b, message_type)
@@ -126,20 +126,20 @@
         for vm in addresses:
             self._network.dial(self.vm, vm)
 
-    def beat_only(self, beaten) -> None:
+    def limit_heartbeats_to(self, beaten) -> None:
         """Do nothing: who isn't frozen is heard."""
 
     def connected(self, vm: str) -> bool:
         """Whether a connection with a VM stands."""
         return self._network.linked(self.vm, vm)
 
-    def heard_at(self, vm: str) -> float | None:
+    def last_seen_at(self, vm: str) -> float | None:
         """Return when a connected VM was heard last."""
         if not self.connected(vm):
             return None
-        return self._network.heard_at(self.vm, vm)
+        return self._network.last_seen_at(self.vm, vm)
 
-    async def reach(self, vm: str, wait_s: float) -> bool:
+    async def wait_connected(self, vm: str, wait_s: float) -> bool:
         """Say at once whether a VM is connected: dialling takes no time here."""
         return self.connected(vm)
 
@@ -165,13 +165,13 @@
         self.serving = True
         self.leaving = False
         self.owned = ()
-        self.roster = Roster()
+        self.registered_order = RegisteredOrder()
         self.transport = fleet.network.join(name, place, incarnation)
         self.transport.heartbeat_source = lambda: Heartbeat(0, 0, False, 0, 1, 0.0)
         self.mesh = FleetMesh(
             transport=self.transport,
             data_centre=place,
-            roster=self.roster,
+            registered_order=self.registered_order,
             timers=fleet.timers,
             message_bytes=MESSAGE_BYTES,
         )
@@ -182,7 +182,7 @@
             now=fleet.timers.now,
             rng=Random(name),
             share=lambda: self.heard_share,
-            vms=lambda: self.roster.count or 1,
+            vms=lambda: self.registered_order.count or 1,
         )
         self.words = LoadWords(
             memberships=self,
@@ -205,7 +205,7 @@
     def heard_share(self) -> float:
         """Return which part of all VMs this one hears, itself included."""
         heard = len(self.live())
-        return heard / max(heard, self.roster.count)
+        return heard / max(heard, self.registered_order.count)
 
     def live(self) -> tuple[str, ...]:
         """Name this VM and those that it takes for living."""
@@ -219,7 +219,7 @@
     def stop(self) -> None:
         """End everything."""
         self.words.stop()
-        self.mesh._looking.cancel()
+        self.mesh._refreshing.cancel()
 
     def _note_word(self, word) -> None:
         for load in word.loads:
@@ -263,7 +263,7 @@
         self.frozen.discard(name)
         vm = FleetVm(self, name, place, incarnation)
         for known in self._registered.values():
-            vm.roster.take(known, self._revisions[known.vm])
+            vm.registered_order.apply(known, self._revisions[known.vm])
         self.vms[name] = vm
         record = VmRecord(name, incarnation, place, f"{name}:1", f"{name}:2", False)
         self._register(record)
@@ -300,7 +300,7 @@
         heard_after = self.timers.now() - 2.0
         seen = set()
         for peer in self.vms[name].mesh.live:
-            if peer.heard_at >= heard_after and not peer.heartbeat.draining:
+            if peer.last_seen_at >= heard_after and not peer.heartbeat.draining:
                 seen.add(peer.vm)
         return seen
 
@@ -331,7 +331,7 @@
         self._registered[record.vm] = record
         self._revisions[record.vm] = self._revision
         for vm in self.vms.values():
-            vm.roster.take(record, self._revision)
+            vm.registered_order.apply(record, self._revision)
 
 
 async def let_run() -> None:
--- a/hawthornlead/tests/fakes_mesh.py
+++ b/hawthornlead/tests/fakes_mesh.py
@@ -98,7 +98,7 @@
             if other != vm and frozenset((vm, other)) not in self._cuts
         ]
 
-    def heard_at(self, a: str, b: str) -> float:
+    def last_seen_at(self, a: str, b: str) -> float:
         """When ``a`` last heard ``b``."""
         return self._silent.get(frozenset((a, b)), self._timers.now())
 
@@ -199,7 +199,9 @@
         infos = []
         for vm in self._network.reachable(self.vm):
             info = self._network.mesh_of(vm).myself
-            infos.append(info._replace(heard_at=self._network.heard_at(self.vm, vm)))
+            infos.append(
+                info._replace(last_seen_at=self._network.last_seen_at(self.vm, vm))
+            )
         return tuple(infos)
 
     def start(self) -> None:
@@ -284,7 +286,7 @@
         if isinstance(arrived, Goodbye):
             other._gone.add((arrived.vm, arrived.incarnation))
         if isinstance(arrived, Hello | Heartbeat | Goodbye):
-            await other.notice(self.myself, arrived)
+            await other.dispatch(self.myself, arrived)
             return
         await other.answer(self.myself, arrived)
 
--- a/hawthornlead/tests/fakes_spread.py
+++ b/hawthornlead/tests/fakes_spread.py
@@ -17,7 +17,7 @@
 from hawthornlead.decisions.quotas import QuotaLedger
 from hawthornlead.events import EventRing
 from hawthornlead.fleet.fleet_meshes import FleetMesh
-from hawthornlead.fleet.rosters import Roster
+from hawthornlead.fleet.registered_orders import RegisteredOrder
 from hawthornlead.gateway.load_words import LoadWords
 from hawthornlead.gateway.memberships import VMS_KIND, Memberships
 from hawthornlead.gateway.records import StoredRecord, VmRecord
@@ -76,19 +76,19 @@
     def hush(self, a: str, b: str) -> None:
         """Lose all between two VMs; their connection, if there is one, looks open."""
         self._silenced.add(frozenset((a, b)))
-        self.heard_at(a, b)
+        self.last_seen_at(a, b)
 
     def unhush(self, a: str, b: str) -> None:
         """End a silence, in which open connections are reset."""
         self._silenced.discard(frozenset((a, b)))
         self.break_link(a, b)
 
-    def heard_at(self, a: str, b: str) -> float:
+    def last_seen_at(self, a: str, b: str) -> float:
         """When ``a`` last heard ``b``."""
         still = {a, b} & self._frozen or frozenset((a, b)) in self._silenced
         if not still:
-            self._heard_at[a, b] = self._timers.now()
-        return self._heard_at.get((a, b), 0.0)
+            self._last_seen_at[a, b] = self._timers.now()
+        return self._last_seen_at.get((a, b), 0.0)
 
     async def carry(self, a: SparseMesh, b: str, message: Any) -> Any:
         """Return the message as it arrives, or None when it is lost."""
@@ -130,11 +130,11 @@
         self.transport = fleet.network.join(name, place, incarnation)
         self.timers = self.transport._timers
         self.transport.heartbeat_source = lambda: Heartbeat(0, 0, False, 0, 1, 0.0)
-        self.roster = Roster()
+        self.registered_order = RegisteredOrder()
         self.mesh = FleetMesh(
             transport=self.transport,
             data_centre=place,
-            roster=self.roster,
+            registered_order=self.registered_order,
             timers=self.timers,
             message_bytes=MESSAGE_BYTES,
         )
@@ -149,7 +149,7 @@
             timers=self.timers,
             rng=rng,
             events=self.events,
-            roster=self.roster,
+            registered_order=self.registered_order,
         )
         self.relays = WatchRelays(
             memberships=self.memberships,
@@ -180,7 +180,7 @@
             watcher.stop()
         self.words.stop()
         self.memberships.stop()
-        self.mesh._looking.cancel()
+        self.mesh._refreshing.cancel()
         self.timers.stop()
         self.timers.freeze()
 
@@ -189,7 +189,7 @@
             now=self.timers.now,
             rng=rng,
             share=lambda: self.memberships.heard_share,
-            vms=lambda: self.roster.count or 1,
+            vms=lambda: self.registered_order.count or 1,
         )
         return LoadWords(
             memberships=self.memberships,
@@ -350,7 +350,7 @@
 
     def fed_by(self, head: str) -> list[str]:
         """Name the VMs that hear of the fleet from a head."""
-        return [name for name, vm in self.vms.items() if vm.mesh.feed == head]
+        return [name for name, vm in self.vms.items() if vm.mesh.upstream_head == head]
 
     def stop(self) -> None:
         """End all VMs."""
--- a/hawthornlead/tests/spread_plays.py
+++ b/hawthornlead/tests/spread_plays.py
@@ -25,7 +25,7 @@
 # change must be in force at a VM in touch: what users ask of small and large fleets.
 SMALL_TOUCH_S, SMALL_BOUND_S = 3.0, 2.0
 LARGE_TOUCH_S, LARGE_BOUND_S = 4.0, 3.0
-MOST_SMALL = 24
+MAX_MESHED_VMS = 24
 CHECK_S = 0.05
 AFTER_S = 8.0
 FAULT_EACH_S = 1.5
@@ -70,7 +70,7 @@
         self.breaches: list[Breach] = []
         self.told: list[str] = []
         self._seconds = seconds
-        large = each * len(PLACES) > MOST_SMALL
+        large = each * len(PLACES) > MAX_MESHED_VMS
         self._touch_s = LARGE_TOUCH_S if large else SMALL_TOUCH_S
         self._bound_s = LARGE_BOUND_S if large else SMALL_BOUND_S
         self._store_disturbed_at = float("-inf")
--- a/hawthornlead/tests/test_fakes_mesh.py
+++ b/hawthornlead/tests/test_fakes_mesh.py
@@ -62,7 +62,7 @@
     assert not call.done()
     await timers.advance(0.2)
     assert (await call).unwrap_err().kind is ErrorKind.PEER_UNAVAILABLE
-    assert a.live[0].heard_at == timers.now() - 2.1
+    assert a.live[0].last_seen_at == timers.now() - 2.1
 
 
 async def test_drops_and_delays(network, timers):
--- a/hawthornlead/tests/test_fleet_meshes.py
+++ b/hawthornlead/tests/test_fleet_meshes.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from hawthornlead.fleet.head_links import HEADS_EACH
+from hawthornlead.fleet.head_links import HEADS_PER_DATA_CENTRE
 from hawthornlead.messages.gateways import TargetReleased
 
 from .fakes_fleets import SETTLED_S, FakeFleet, let_run
@@ -32,7 +32,7 @@
 
 async def test_all_vms_see_all_others(fleet):
     assert all_see_all(fleet)
-    assert len(fleet.heads()) == HEADS_EACH * len(PLACES)
+    assert len(fleet.heads()) == HEADS_PER_DATA_CENTRE * len(PLACES)
 
 
 @pytest.mark.parametrize("size", [40, 195])
@@ -51,10 +51,10 @@
     assert all_see_all(fleet)
     others = set(fleet.vms) - fleet.heads()
     for name in others:
-        assert fleet.connections(name) == HEADS_EACH
+        assert fleet.connections(name) == HEADS_PER_DATA_CENTRE
         assert fleet.vms[name].heard.total() <= 5 * MOST_MESSAGES
     for name in fleet.heads():
-        assert fleet.connections(name) <= each + HEADS_EACH * 5
+        assert fleet.connections(name) <= each + HEADS_PER_DATA_CENTRE * 5
     fleet.stop()
 
 
@@ -127,7 +127,7 @@
     await fleet.settle()
     assert fleet.heads() == heads
     assert all_see_all(fleet)
-    assert fleet.network.dialled - dialled <= len(restarted) * HEADS_EACH
+    assert fleet.network.dialled - dialled <= len(restarted) * HEADS_PER_DATA_CENTRE
 
 
 async def test_all_heads_restarted_in_turn(fleet):
@@ -138,7 +138,7 @@
         fleet.start(name, place)
     await fleet.settle()
     assert all_see_all(fleet)
-    assert len(fleet.heads()) == HEADS_EACH * len(PLACES)
+    assert len(fleet.heads()) == HEADS_PER_DATA_CENTRE * len(PLACES)
 
 
 async def test_most_vms_lose_their_power_at_once(fleet):
@@ -175,8 +175,8 @@
     place = fleet.vms[name].place
     fleet.kill(name)
     vm = fleet.start(name, place)
-    for known in tuple(vm.roster.records):
-        vm.roster.drop(known)
+    for known in tuple(vm.registered_order.records):
+        vm.registered_order.remove(known)
     await fleet.settle()
     assert fleet.network.reachable(name)
 
@@ -200,5 +200,5 @@
         fleet.start(f"gijon-{number}", "gijon")
     await fleet.settle()
     assert all_see_all(fleet)
-    assert len(fleet.heads()) == 2 * HEADS_EACH
+    assert len(fleet.heads()) == 2 * HEADS_PER_DATA_CENTRE
     fleet.stop()
--- a/hawthornlead/tests/test_holding_words.py
+++ b/hawthornlead/tests/test_holding_words.py
@@ -34,7 +34,7 @@
             own=lambda: tuple(self.owned),
             on_told=self._note,
         )
-        mesh.on_fed = self.words.tell_all
+        mesh.on_subscribed = self.words.tell_all
         self.words.start()
 
     def _note(self, owner, holdings):
--- a/hawthornlead/tests/test_memberships.py
+++ b/hawthornlead/tests/test_memberships.py
@@ -4,8 +4,8 @@
 
 from hawthornlead.clocks import HybridClock
 from hawthornlead.events import EventRing
-from hawthornlead.fleet.fleet_meshes import MOST_SMALL
-from hawthornlead.fleet.rosters import Roster
+from hawthornlead.fleet.fleet_meshes import MAX_MESHED_VMS
+from hawthornlead.fleet.registered_orders import RegisteredOrder
 from hawthornlead.gateway.memberships import MOST_OWNERS, Memberships
 from hawthornlead.gateway.records import VmRecord
 from hawthornlead.gateway.relay_roles import STEP_IN_S, RelayRole
@@ -27,7 +27,7 @@
             meshes[name] = network.join(name)
             beat = Heartbeat(0, 0, name in leaving, 0, 1, 0.0)
             meshes[name].heartbeat_source = lambda beat=beat: beat
-        self.roster = Roster()
+        self.registered_order = RegisteredOrder()
         self.memberships = [self._of(name, meshes[name]) for name in self.names]
 
     def _of(self, name, mesh):
@@ -38,13 +38,13 @@
             timers=self.timers,
             rng=Random(1),
             events=EventRing(name, HybridClock(self.timers)),
-            roster=self.roster,
+            registered_order=self.registered_order,
         )
 
     def register(self, name, revision, place="gijon"):
         """Let all VMs hear that one registered."""
         record = VmRecord(name, f"{name}-{revision}", place, "x:1", "x:2", False)
-        self.roster.take(record, revision)
+        self.registered_order.apply(record, revision)
         for memberships in self.memberships:
             memberships._forget_orders()
 
@@ -74,7 +74,7 @@
 
 
 async def test_in_a_small_fleet_every_vm_may_own_engines():
-    fleet = Fleet(vms=MOST_SMALL)
+    fleet = Fleet(vms=MAX_MESHED_VMS)
     memberships = fleet.memberships[0]
     for target in ("e1", "e2"):
         assert memberships.owners_for(target) == memberships.order_for(target)
--- a/hawthornlead/tests/test_peers.py
+++ b/hawthornlead/tests/test_peers.py
@@ -193,7 +193,7 @@
     async with running("a", "b", **quiet) as (a, b):
         await until(lambda: a.live and b.live)
         (connection,) = a._peers["b"].connections
-        connection.heard_at -= 100
+        connection.last_seen_at -= 100
         a._checked_at -= 100
         a._check()
         assert 202 not in numbers(a)
--- a/hawthornlead/tests/test_statuses.py
+++ b/hawthornlead/tests/test_statuses.py
@@ -22,7 +22,7 @@
     state = TargetState("e-1", 7, 1, 4, 1, 0, False, (resident,))
     known = TargetView("e-1", "a", "bilbao", ("base",), "vm-1", state, 998.0, False)
     unknown = TargetView("e-2", "b", "bilbao", ("base",), "", None, 0, True)
-    peer = SimpleNamespace(vm="vm-2", data_centre="d", address="p", heard_at=999.5)
+    peer = SimpleNamespace(vm="vm-2", data_centre="d", address="p", last_seen_at=999.5)
     return StatusParts(
         settings=default_settings(VM_NAME="vm-1", DATA_CENTRE="bilbao"),
         timers=ManualTimerService(start=1000.0),
