--- a/hawthornlead/callers/requests.py
+++ b/hawthornlead/callers/requests.py
@@ -14,14 +14,14 @@
 from ..core_parts import CoreParts
 from ..decisions.limits import Admissions
 from ..decisions.popularities import Popularity
-from ..decisions.popularity_shares import PopularityShares
+from ..decisions.popularity_exchanges import PopularityExchange
 from ..decisions.retries import Retries
 from ..decisions.routers import Router
 from ..decisions.suspects import Suspects
 from ..decisions.views import TargetView, TargetViews
 from ..engines.grants import Grant, Grants
-from ..engines.spares import SpareCopies
-from ..engines.suspect_places import SuspectPlaces
+from ..engines.hot_copies import HotCopies
+from ..engines.suspect_reservations import SuspectReservations
 from ..engines.target_deaths import TargetDeaths
 from ..errors import ErrorKind, Failure
 from ..events import EventKind
@@ -111,7 +111,7 @@
 
     suspects: Suspects
     deaths: TargetDeaths
-    places: SuspectPlaces
+    suspect_reservations: SuspectReservations
 
 
 class RequestPath:
@@ -127,8 +127,8 @@
         crashes: CrashParts,
         claims: RequestClaims,
         retries: Retries,
-        shares: PopularityShares,
-        spares: SpareCopies,
+        shares: PopularityExchange,
+        hot_copies: HotCopies,
         attempts: AttemptRunner,
         sent: SentAttempts,
     ):
@@ -149,10 +149,10 @@
         self._retries = retries
         self._suspects = crashes.suspects
         self._deaths = crashes.deaths
-        self._places = crashes.places
+        self._suspect_reservations = crashes.suspect_reservations
         self._routing = routing
         self._shares = shares
-        self._spares = spares
+        self._hot_copies = hot_copies
         self._attempts = attempts
         self._sent = sent
         self._outcomes = OutcomeRecorder(
@@ -188,7 +188,7 @@
         newest = request.in_force.seq >= self._keeper.seq_in_force
         self._invariants.check("admitted-under-newest", newest, request.request_id)
         self._shares.observe(assignment.adapter)
-        self._spares.consider(assignment)
+        self._hot_copies.consider(assignment)
         self._events.emit(
             EventKind.REQUEST_ADMITTED,
             request.request_id,
@@ -234,7 +234,7 @@
         offset = 0
         ran = False
         tried: set[str] = set()
-        self._retries.first_attempt()
+        self._retries.record_first_attempt()
         for number in range(1, self._settings["MAX_ATTEMPTS"] + 1):
             granted = await self._grant(request, assignment, tried)
             if isinstance(granted, Err):
@@ -308,19 +308,19 @@
             request_id=request.request_id,
             once=bool(request.key),
         )
-        running = self._deaths.started(view, attempt_id, request.fingerprint)
+        running = self._deaths.record_start(view, attempt_id, request.fingerprint)
         try:
             end = await self._attempts.run(call, grant, sink)
         finally:
-            self._deaths.ended(view.target, attempt_id)
+            self._deaths.record_end(view.target, attempt_id)
         if end.failure is None:
-            self._suspects.completed(request.fingerprint)
+            self._suspects.record_completion(request.fingerprint)
         elif end.failure.kind in (ErrorKind.TARGET_LOST, ErrorKind.TARGET_UNREACHABLE):
-            await self._deaths.suspect(view, running, end.failure)
+            await self._deaths.check(view, running, end.failure)
         elif end.failure.kind is ErrorKind.CALLER_GONE:
             self._events.emit(EventKind.CALLER_LEFT, attempt_id, target=view.target)
         # Only now: another suspect is kept away until a death has been told.
-        self._places.give(view, request.request_id)
+        self._suspect_reservations.release(view, request.request_id)
         return end
 
     async def _grant(
@@ -358,7 +358,9 @@
         if not self._suspects.is_suspect(request.fingerprint):
             return True
         hold_s = request.deadline_at - self._timers.now()
-        taken = await self._places.take(view, request.request_id, hold_s)
+        taken = await self._suspect_reservations.reserve(
+            view, request.request_id, hold_s
+        )
         return isinstance(taken, Ok)
 
     def _joinable(self, request: CallerRequest, tries: list[Try]) -> list[Try]:
@@ -369,7 +371,7 @@
         """
         found = []
         for one_try in tries:
-            running = self._deaths.running(one_try.view.target)
+            running = self._deaths.running_fingerprints(one_try.view.target)
             if self._suspects.may_join(request.fingerprint, running):
                 found.append(one_try)
         return found
--- a/hawthornlead/daemon/daemon_parts.py
+++ b/hawthornlead/daemon/daemon_parts.py
@@ -24,7 +24,7 @@
 from ..decisions.load_orders import LOAD_ORDERS
 from ..decisions.placements import PLACEMENTS, Placement
 from ..decisions.popularities import POPULARITIES, HighestPopularity, Popularity
-from ..decisions.popularity_shares import PopularityShares
+from ..decisions.popularity_exchanges import PopularityExchange
 from ..decisions.retries import Retries
 from ..decisions.routers import ROUTERS, Router
 from ..decisions.suspects import Suspects
@@ -32,9 +32,9 @@
 from ..engines.allowances import Allowances
 from ..engines.exchanges import TargetConnections
 from ..engines.grants import Grants
+from ..engines.hot_copies import HotCopies
 from ..engines.owned_targets import Policies
-from ..engines.spares import SpareCopies
-from ..engines.suspect_places import SuspectPlaces
+from ..engines.suspect_reservations import SuspectReservations
 from ..engines.target_deaths import TargetDeaths
 from ..engines.target_owners import TargetOwners
 from ..engines.targets import TargetClients
@@ -65,7 +65,7 @@
     """What VMs know of targets and do for those that they own."""
 
     popularity: Popularity
-    shares: PopularityShares
+    shares: PopularityExchange
     placement: Placement
     router: Router
     clients: TargetClients
@@ -137,7 +137,7 @@
     settings, timers, rng = core.settings, core.timers, core.rng
     mesh, owners = coordination.mesh, coordination.owners
     popularity = POPULARITIES[settings["POPULARITY"]](settings=settings)
-    shares = PopularityShares(
+    shares = PopularityExchange(
         settings=settings,
         timers=timers,
         rng=rng,
@@ -255,7 +255,7 @@
         clients=targets.clients,
         sent=sent,
     )
-    spares = SpareCopies(
+    hot_copies = HotCopies(
         timers=timers,
         views=targets.views,
         grants=targets.grants,
@@ -269,11 +269,13 @@
         routing=Routing(
             targets.views, targets.router, targets.popularity, targets.grants
         ),
-        crashes=CrashParts(suspects, deaths, SuspectPlaces(timers=timers, mesh=mesh)),
+        crashes=CrashParts(
+            suspects, deaths, SuspectReservations(timers=timers, mesh=mesh)
+        ),
         claims=claims,
         retries=retries,
         shares=targets.shares,
-        spares=spares,
+        hot_copies=hot_copies,
         attempts=attempts,
         sent=sent,
     )
--- a/hawthornlead/engines/grants.py
+++ b/hawthornlead/engines/grants.py
@@ -1,20 +1,20 @@
-"""The grants that this VM holds: its right to run requests on targets.
+"""The holding side of grants: this VM's right to run requests on targets.
 
-A request needs a grant of its target's owner for its adapter version. Grants are
+A request needs a grant from its target's owner for its adapter version. Grants are
 kept and shared, so that most requests need no round trip::
 
     granted = await grants.acquire("engine-3", assignment, wait_s=2.0)
     grant = granted.ok_value
-    if grant.begin(attempt_id).is_ok():
+    if grant.start(attempt_id).is_ok():
         ...                                     # send, relay the answer
         grant.finish(attempt_id, ended=True)    # the target is known to be done
 
-A grant's time counts from the moment its asking was *sent*, by the monotonic clock,
-shortened by the error that two clocks' rates may have. So it is over here before it
-is over at the owner, however long the reply took.
+A grant's time counts from the moment its request was *sent*, by the monotonic clock,
+shortened by the rate error that two clocks may have. So it expires here before it
+expires at the owner, however long the reply took.
 
-A request that runs longer than its grant goes on: the owner does not evict before a
-report shows that nothing runs, so a stream survives the loss of an owner.
+A request may run longer than its grant. The owner does not evict before a report shows
+that nothing runs, so a stream survives the loss of an owner.
 """
 
 import asyncio
@@ -41,7 +41,7 @@
 from .grant_ledgers import AdapterVersion
 
 # A grant with less time left than this is not handed to another request.
-LEAST_LEFT_S = 0.25
+MIN_REMAINING_S = 0.25
 
 
 class GrantKey(NamedTuple):
@@ -51,16 +51,16 @@
     key: AdapterVersion
 
 
-class _AskingKey(NamedTuple):
-    """What requests must have in common to share an asking."""
+class _RequestKey(NamedTuple):
+    """What callers must have in common to share a request to the owner."""
 
     key: GrantKey
     load: bool
-    ahead: bool
-    room_s: float
+    prefetch: bool
+    slot_wait_s: float
 
 
-class _Held:
+class _HeldGrant:
     """One grant of an owner, shared by up to ``count`` requests."""
 
     def __init__(self, key: GrantKey, reply: GrantReply, owner_vm: str, ends_at: float):
@@ -69,33 +69,34 @@
         self.owner_vm = owner_vm
         self.ends_at = ends_at
         self.running: set[str] = set()
-        # Handed out and not begun. Weak: a request that fails before its attempt
-        # drops its ``Grant``, and its place is free again.
+        # Acquired and not started. Weak: a request that fails before its attempt
+        # drops its ``Grant``, which frees its place.
         self.reserved: weakref.WeakSet[Grant] = weakref.WeakSet()
         self.used_at = -math.inf
-        # Requests begun since the owner was last told; it counts the first itself.
-        self.begun = -1
+        # Requests started since the last report to the owner, which itself counts
+        # the first one.
+        self.started = -1
         self.revoked = False
-        # A request under it may still run though its attempt is over.
-        self.doubtful = False
+        # A request may still run under it although its attempt has ended.
+        self.suspect = False
 
     @property
     def busy(self) -> bool:
         return bool(self.running) or len(self.reserved) > 0
 
     @property
-    def room(self) -> int:
+    def free_places(self) -> int:
         return self.reply.count - len(self.running) - len(self.reserved)
 
-    def take_begun(self) -> int:
-        begun, self.begun = max(0, self.begun), min(0, self.begun)
+    def drain_started(self) -> int:
+        begun, self.started = max(0, self.started), min(0, self.started)
         return begun
 
 
 class Grant:
     """One request's place under a grant, for one attempt."""
 
-    def __init__(self, grants: "Grants", held: _Held, loaded_s: float):
+    def __init__(self, grants: "Grants", held: _HeldGrant, loaded_s: float):
         self._grants = grants
         self._held = held
         self._loaded_s = loaded_s
@@ -103,49 +104,50 @@
 
     @property
     def grant_id(self) -> str:
-        """The owner's name of the grant."""
+        """The grant's id at the owner."""
         return self._held.reply.grant_id
 
     @property
     def fence(self) -> int:
-        """The fencing number of the owner that gave it."""
+        """The fencing number of the owner that issued it."""
         return self._held.reply.fence
 
     @property
     def ends_at(self) -> float:
-        """When it runs out, by this VM's clock; later after each renewal."""
+        """When it expires by this VM's clock; each renewal extends it."""
         return self._held.ends_at
 
     @property
     def lost_at(self) -> float:
-        """When a running attempt must be broken off: never.
+        """When a running attempt must be aborted: never.
 
-        A grant that ran out lets nothing begin, but the owner, and any successor,
-        evicts only after a report that shows nothing running on the adapter.
+        No attempt may start under an expired grant. A running one goes on, since the
+        owner and any successor evict only after a report that shows nothing running
+        on the adapter.
         """
         return math.inf
 
     @property
     def loaded_s(self) -> float:
-        """How long the owner loaded for this request, in seconds."""
+        """How long this request waited for its load, in seconds."""
         return self._loaded_s
 
-    def begin(self, attempt_id: str) -> Result[None, Failure]:
+    def start(self, attempt_id: str) -> Result[None, Failure]:
         """Start an attempt; call it right before the bytes are sent.
 
-        Refused when the grant has run out: the process may have been frozen since
-        it was acquired, and the adapter evicted meanwhile.
+        Refused when the grant has expired: the process may have been frozen since
+        it acquired the grant, and the adapter may have been evicted meanwhile.
         """
-        return self._grants.begin(self, self._held, attempt_id)
+        return self._grants.start_attempt(self, self._held, attempt_id)
 
     def finish(self, attempt_id: str, *, ended: bool = False) -> None:
         """End an attempt.
 
         ``ended`` says that the target is known to be done with it: it answered to
-        the end, refused, or was never reached. Else the grant is not given back but
-        left to run out, so that the adapter stays until a report shows it idle.
+        the end, refused, or was never reached. Otherwise the grant is not released
+        but left to expire, so that the adapter stays until a report shows it idle.
         """
-        self._grants.finish(self, self._held, attempt_id, ended)
+        self._grants.finish_attempt(self, self._held, attempt_id, ended)
 
 
 class Grants:
@@ -165,21 +167,21 @@
         self._invariants = core.invariants
         self._mesh = mesh
         self._owners = owners
-        self._held: dict[str, _Held] = {}
-        self._by_key: dict[GrantKey, list[_Held]] = {}
-        self._asking: dict[_AskingKey, asyncio.Task] = {}
+        self._held: dict[str, _HeldGrant] = {}
+        self._by_key: dict[GrantKey, list[_HeldGrant]] = {}
+        self._pending_requests: dict[_RequestKey, asyncio.Task] = {}
         self._revoked_early: dict[str, float] = {}
         self._timer = None
 
     def start(self) -> None:
-        """Renew and give back from now on."""
+        """Start to renew grants in use and to release idle ones."""
         self._mesh.on(RevokeGrant, self._on_revoke)
         self._timer = self._timers.every(
             self._settings["GRANT_RENEW_S"], self.renew, name="grants"
         )
 
     async def stop(self) -> None:
-        """Give back all grants under which nothing runs."""
+        """Release all grants under which nothing runs."""
         if self._timer is not None:
             self._timer.cancel()
         for held in list(self._held.values()):
@@ -193,55 +195,55 @@
         wait_s: float,
         load: bool = True,
         priority: int = 0,
-        ahead: bool = False,
-        room_s: float = 3600.0,
+        prefetch: bool = False,
+        slot_wait_s: float = 3600.0,
     ) -> Result[Grant, Failure]:
-        """Get a place under a grant, from those held or from the target's owner.
+        """Get a place under a held grant or under one from the target's owner.
 
-        Requests that ask for the same at once share one asking. ``ahead`` and
-        ``room_s`` (seconds) are those of ``AcquireGrant``.
+        Concurrent callers that need the same share one request. ``prefetch`` and
+        ``slot_wait_s`` (seconds) are those of ``AcquireGrant``.
         """
         key = GrantKey(target, AdapterVersion(assignment.adapter, assignment.version))
-        until = self._timers.now() + wait_s
+        deadline_at = self._timers.now() + wait_s
         loaded_s = 0.0
         while True:
             held = self._usable(key)
             if held is not None:
                 return Ok(Grant(self, held, loaded_s))
-            left = until - self._timers.now()
-            if left < 0:
+            remaining_s = deadline_at - self._timers.now()
+            if remaining_s < 0:
                 return Err(_no_grant("no grant came in time"))
-            ask = AcquireGrant(
+            request = AcquireGrant(
                 target,
                 assignment.adapter,
                 assignment.version,
                 assignment.base_model,
                 self._settings["GRANT_SIZE"],
                 priority,
-                left,
+                remaining_s,
                 load,
-                ahead,
-                room_s,
+                prefetch,
+                slot_wait_s,
             )
-            asking = self._ask(key, ask)
-            if not await wait_done(self._timers, asking, left):
+            task = self._request(key, request)
+            if not await wait_done(self._timers, task, remaining_s):
                 return Err(_no_grant("no grant came in time"))
-            outcome = asking.result()
+            outcome = task.result()
             if isinstance(outcome, Err):
                 return outcome
             loaded_s = max(loaded_s, outcome.ok_value.loaded_s)
 
-    def begin(self, grant: Grant, held: _Held, attempt_id: str) -> Result:
-        """See ``Grant.begin``."""
+    def start_attempt(self, grant: Grant, held: _HeldGrant, attempt_id: str) -> Result:
+        """See ``Grant.start``."""
         held.reserved.discard(grant)
         now = self._timers.now()
-        # GRA-2: read right before the send. GRA-10: one that was given back is over,
-        # whatever a late reply says of its time.
+        # GRA-2: the clock is read right before the send. GRA-10: a released grant is
+        # over, whatever a late reply says of its time.
         if now >= held.ends_at or self._held.get(held.reply.grant_id) is not held:
-            return Err(_no_grant("the grant ran out before the request was sent"))
+            return Err(_no_grant("the grant expired before the request was sent"))
         held.running.add(attempt_id)
         held.used_at = now
-        held.begun += 1
+        held.started += 1
         self._invariants.check(
             "grant-before-send",
             now < held.ends_at and len(held.running) <= held.reply.count,
@@ -249,30 +251,32 @@
         )
         return Ok(None)
 
-    def finish(self, grant: Grant, held: _Held, attempt_id: str, ended: bool) -> None:
+    def finish_attempt(
+        self, grant: Grant, held: _HeldGrant, attempt_id: str, ended: bool
+    ) -> None:
         """See ``Grant.finish``."""
         held.reserved.discard(grant)
         if attempt_id in held.running:
             held.running.discard(attempt_id)
-            # GRA-6: a request whose end was not seen may still run. Given back as
-            # idle, the grant would let the owner evict under it; it runs out instead,
-            # and the owner wants a report that shows the adapter idle.
-            held.doubtful = held.doubtful or not ended
+            # GRA-6: a request whose end was not seen may still run. If its grant were
+            # released as idle, the owner could evict under it. The grant expires
+            # instead, and the owner waits for a report that shows the adapter idle.
+            held.suspect = held.suspect or not ended
         if held.revoked:
             self._release_if_idle(held)
 
     async def renew(self) -> None:
-        """Renew what is in use, give back what is idle, drop what ran out."""
+        """Renew grants in use, release idle ones, discard expired ones."""
         now = self._timers.now()
         for grant_id, at in list(self._revoked_early.items()):
             if now - at > self._settings["GRANT_S"]:
                 del self._revoked_early[grant_id]
-        in_use: dict[str, list[_Held]] = {}
+        in_use: dict[str, list[_HeldGrant]] = {}
         for held in list(self._held.values()):
             if now >= held.ends_at and not held.busy:
-                self._drop(held)
+                self._discard(held)
                 continue
-            if held.busy and not held.doubtful:
+            if held.busy and not held.suspect:
                 in_use.setdefault(held.key.target, []).append(held)
             elif now - held.used_at >= self._settings["GRANT_RENEW_S"]:
                 self._release_if_idle(held)
@@ -280,24 +284,26 @@
         await asyncio.gather(*calls)
         self._metrics.grants_held.set(len(self._held))
 
-    async def _renew(self, target: str, in_use: list[_Held]) -> None:
+    async def _renew(self, target: str, in_use: list[_HeldGrant]) -> None:
         sent_at = self._timers.now()
         renewed: tuple[str, ...] = ()
         ttl_s = 0.0
         owner = self._owners.owner_of(target_resource(target))
         if owner is not None:
             ids = tuple(held.reply.grant_id for held in in_use)
-            begun = tuple(held.take_begun() for held in in_use)
+            begun = tuple(held.drain_started() for held in in_use)
             reply = await self._mesh.call(owner.vm, RenewGrants(target, ids, begun))
             if isinstance(reply, Ok):
                 renewed, ttl_s = reply.ok_value
         for held in in_use:
-            # GRA-10: it was given back while the reply was under way. Extended now,
-            # a request could begin under it though the owner counts it as returned.
+            # GRA-10: it was released while the reply was under way. If extended now, a
+            # request could start under it although the owner counts it as released.
             if self._held.get(held.reply.grant_id) is not held:
                 continue
             if held.reply.grant_id in renewed:
-                held.ends_at = max(held.ends_at, sent_at + self._shortened(ttl_s))
+                held.ends_at = max(
+                    held.ends_at, sent_at + self._minus_clock_error(ttl_s)
+                )
                 continue
             self._events.emit(
                 EventKind.GRANT_LOST,
@@ -306,49 +312,53 @@
                 running=len(held.running),
             )
 
-    def _usable(self, key: GrantKey) -> _Held | None:
-        """Return the held grant with room that ends last, or None."""
-        soonest = self._timers.now() + LEAST_LEFT_S
+    def _usable(self, key: GrantKey) -> _HeldGrant | None:
+        """Return the held grant with a free place that expires last, or None."""
+        soonest = self._timers.now() + MIN_REMAINING_S
         best = None
         for held in self._by_key.get(key, ()):
-            if held.revoked or held.room <= 0 or held.ends_at < soonest:
+            if held.revoked or held.free_places <= 0 or held.ends_at < soonest:
                 continue
             if best is None or held.ends_at > best.ends_at:
                 best = held
         return best
 
-    def _ask(self, key: GrantKey, ask: AcquireGrant) -> asyncio.Task:
-        # Only askings that are answered alike are shared: a request must not get
-        # the refusal of one that looked further sooner, or of a load ahead.
-        kind = _AskingKey(key, ask.load, ask.ahead, ask.room_s)
-        asking = self._asking.get(kind)
-        if asking is not None and not asking.done():
-            return asking
-        asking = asyncio.get_running_loop().create_task(self._call(key, ask))
-        self._asking[kind] = asking
-
-        def forget(task):
-            if self._asking.get(kind) is task:
-                del self._asking[kind]
-
-        asking.add_done_callback(forget)
-        return asking
-
-    async def _call(
-        self, key: GrantKey, ask: AcquireGrant
+    def _request(self, key: GrantKey, request: AcquireGrant) -> asyncio.Task:
+        # Only requests with the same answer are shared: a request must not get the
+        # refusal of one that waits less long for a slot, or of a prefetch.
+        kind = _RequestKey(key, request.load, request.prefetch, request.slot_wait_s)
+        call = self._pending_requests.get(kind)
+        if call is not None and not call.done():
+            return call
+        call = asyncio.get_running_loop().create_task(
+            self._request_from_owner(key, request)
+        )
+        self._pending_requests[kind] = call
+
+        def discard(task):
+            if self._pending_requests.get(kind) is task:
+                del self._pending_requests[kind]
+
+        call.add_done_callback(discard)
+        return call
+
+    async def _request_from_owner(
+        self, key: GrantKey, request: AcquireGrant
     ) -> Result[GrantReply, Failure]:
         owner = self._owners.owner_of(target_resource(key.target))
         if owner is None:
             return Err(_no_grant(f"{key.target} has no owner"))
-        # Read before the asking leaves: the owner cannot have begun to count yet.
+        # Read before the request is sent, so before the owner starts to count.
         sent_at = self._timers.now()
-        timeout_s = ask.wait_s + self._settings["PEER_CALL_S"]
-        reply = await self._mesh.call(owner.vm, ask, timeout_s=timeout_s)
+        timeout_s = request.wait_s + self._settings["PEER_CALL_S"]
+        reply = await self._mesh.call(owner.vm, request, timeout_s=timeout_s)
         if isinstance(reply, Err):
             return reply
         grant = reply.ok_value
-        held = _Held(key, grant, owner.vm, sent_at + self._shortened(grant.ttl_s))
-        # A revocation may overtake the grant that it is about.
+        held = _HeldGrant(
+            key, grant, owner.vm, sent_at + self._minus_clock_error(grant.ttl_s)
+        )
+        # A revocation may arrive before the grant that it is for.
         held.revoked = self._revoked_early.pop(grant.grant_id, None) is not None
         held.used_at = self._timers.now()
         self._held[grant.grant_id] = held
@@ -357,7 +367,7 @@
             self._release_if_idle(held)
         return Ok(grant)
 
-    def _shortened(self, ttl_s: float) -> float:
+    def _minus_clock_error(self, ttl_s: float) -> float:
         return ttl_s * (1 - 2 * self._settings["CLOCK_RATE_ERROR"])
 
     async def _on_revoke(self, sender, message: RevokeGrant):
@@ -369,15 +379,17 @@
         self._release_if_idle(held)
         return Done()
 
-    def _release_if_idle(self, held: _Held) -> None:
-        """Give a grant back, unless something may run or begin under it."""
-        if held.busy or held.doubtful:
+    def _release_if_idle(self, held: _HeldGrant) -> None:
+        """Release a grant unless a request runs, may run or may start under it."""
+        if held.busy or held.suspect:
             return
-        self._drop(held)
-        message = ReleaseGrant(held.key.target, held.reply.grant_id, held.take_begun())
+        self._discard(held)
+        message = ReleaseGrant(
+            held.key.target, held.reply.grant_id, held.drain_started()
+        )
         send(self._mesh, held.owner_vm, message)
 
-    def _drop(self, held: _Held) -> None:
+    def _discard(self, held: _HeldGrant) -> None:
         self._held.pop(held.reply.grant_id, None)
         siblings = self._by_key.get(held.key, [])
         if held in siblings:
--- a/hawthornlead/engines/load_permits.py
+++ b/hawthornlead/engines/load_permits.py
@@ -1,4 +1,4 @@
-"""Permits to load, asked of the weight store's allowance for one target's loads."""
+"""Acquires permits from the weight store's allowance for one target's loads."""
 
 from result import Err, Ok, Result
 
@@ -7,15 +7,15 @@
 from .allowances import Allowances, Permit
 from .load_queues import Load
 
-# How long a load that no request waits for asks for a permit. Short, so that a request
-# that joins it meanwhile soon asks with its own weight.
-AHEAD_ASK_S = 0.5
-# For how long the wait for a permit counts in what a new load is expected to take.
-WAIT_KEEP_S = 2.0
+# How long a prefetch waits for a permit. Short, so that a request that joins it
+# meanwhile soon requests the permit again with its own priority and deadline.
+PREFETCH_TIMEOUT_S = 0.5
+# How long the last wait for a permit counts as the expected wait of a new load.
+WAIT_MAX_AGE_S = 2.0
 
 
 class LoadPermits:
-    """Asks for permits, and remembers how long they took lately."""
+    """Acquires permits and measures how long that takes."""
 
     def __init__(
         self,
@@ -29,32 +29,32 @@
         self._allowances = allowances
         self._weight_store = weight_store
         self._target = target
-        self._waited_s = 0.0
-        self._given_at = float("-inf")
+        self._wait_s = 0.0
+        self._issued_at = float("-inf")
 
     @property
     def expected_s(self) -> float:
-        """How long a new load would wait for its permit, 0 if none was given lately."""
-        if self._timers.now() - self._given_at >= WAIT_KEEP_S:
+        """How long a new load would wait for its permit; 0 without a recent permit."""
+        if self._timers.now() - self._issued_at >= WAIT_MAX_AGE_S:
             return 0.0
-        return self._waited_s
-
-    async def ask(self, load: Load) -> Result[Permit, Failure] | None:
-        """Ask for a permit; None when requests came to a load ahead meanwhile."""
-        asked_at = self._timers.now()
-        left = load.deadline_at - asked_at
-        ahead = load.requests == 0
-        asked = await self._allowances.acquire(
+        return self._wait_s
+
+    async def acquire(self, load: Load) -> Result[Permit, Failure] | None:
+        """Acquire a permit; None if requests joined a prefetch meanwhile."""
+        requested_at = self._timers.now()
+        left = load.deadline_at - requested_at
+        prefetch = load.requests == 0
+        reply = await self._allowances.acquire(
             self._weight_store,
             self._target,
             load.key,
             load.priority,
-            min(left, AHEAD_ASK_S) if ahead else left,
+            min(left, PREFETCH_TIMEOUT_S) if prefetch else left,
             load.requests,
         )
-        if isinstance(asked, Err) and ahead and load.requests > 0:
+        if isinstance(reply, Err) and prefetch and load.requests > 0:
             return None
-        if isinstance(asked, Ok) and not ahead:
-            self._given_at = self._timers.now()
-            self._waited_s = self._given_at - asked_at
-        return asked
+        if isinstance(reply, Ok) and not prefetch:
+            self._issued_at = self._timers.now()
+            self._wait_s = self._issued_at - requested_at
+        return reply
--- a/hawthornlead/engines/slots.py
+++ b/hawthornlead/engines/slots.py
@@ -1,8 +1,8 @@
-"""The owner's side of one target: who may run there, and what it has loaded.
+"""The owner of one target: decides who may run there and what it has loaded.
 
-A ``TargetOwner`` lives on the VM that owns ``target:NAME``, from taking it to losing
-it. It reads the target's reports, gives grants, and lets the loader load and evict.
-Other VMs' requests reach it as messages through ``TargetOwners``.
+A ``TargetOwner`` exists on the VM that owns ``target:NAME`` for as long as it owns it.
+It polls the target's reports, issues grants, and lets the loader load and evict.
+``TargetOwners`` hands it the messages of other VMs.
 """
 
 from collections.abc import Callable
@@ -20,20 +20,25 @@
 from .allowances import Allowances
 from .engine_clocks import EngineClock
 from .evict_guards import EvictGuard
-from .grant_givers import GrantGiver, no_grant
+from .grant_issuers import GrantIssuer, no_grant
 from .grant_ledgers import GrantLedger, HeldGrant
 from .load_queues import LoadQueue
 from .loaders import Loader
 from .orders import TargetOrders
 from .owned_targets import OwnedTarget, Policies
 from .residencies import Residency
-from .slot_rooms import SlotRoom
-from .target_readers import TargetReader
+from .slot_reclaimers import SlotReclaimer
+from .target_pollers import TargetPoller
 from .targets import TargetClient
 
 
 class TargetOwner:
-    """Decides for one target."""
+    """Decides on grants, loads and evictions of one target.
+
+    ``cast`` sends a revocation to a VM without waiting for an answer.
+    ``has_predecessor_stopped`` says whether all earlier owners are proved to have
+    stopped.
+    """
 
     def __init__(
         self,
@@ -46,7 +51,7 @@
         target: OwnedTarget,
         ownership,
         cast: Callable[[str, RevokeGrant], object],
-        predecessor_gone: Callable[[], bool] = lambda: False,
+        has_predecessor_stopped: Callable[[], bool] = lambda: False,
     ):
         self._settings = core.settings
         self._timers = core.timers
@@ -55,7 +60,7 @@
         self._target = target
         self._fence = ownership.fence
         self._cast = cast
-        self._predecessor_gone = predecessor_gone
+        self._has_predecessor_stopped = has_predecessor_stopped
         self._clock = EngineClock()
         self._residency = Residency(self._clock, target.slots)
         self._queue = LoadQueue(policies.load_order)
@@ -83,7 +88,7 @@
             target=target.name,
             fence=ownership.fence,
         )
-        room = SlotRoom(
+        reclaimer = SlotReclaimer(
             core=core,
             target=target.name,
             policies=policies,
@@ -99,11 +104,11 @@
             orders=self._orders,
             residency=self._residency,
             queue=self._queue,
-            room=room,
+            reclaimer=reclaimer,
             allowances=allowances,
             changed=self._changed,
         )
-        self._giver = GrantGiver(
+        self._grant_issuer = GrantIssuer(
             core=core,
             target=target.name,
             policies=policies,
@@ -116,7 +121,7 @@
             changed=self._changed,
             refusal=self._refusal,
         )
-        self._reader = TargetReader(
+        self._poller = TargetPoller(
             timers=core.timers,
             events=core.events,
             metrics=core.metrics,
@@ -144,29 +149,29 @@
     @property
     def leaving(self) -> bool:
         """Whether the target leaves and takes no new work."""
-        return self._giver.leaving
+        return self._grant_issuer.leaving
 
     @leaving.setter
     def leaving(self, leaving: bool) -> None:
-        self._giver.leaving = leaving
+        self._grant_issuer.leaving = leaving
 
     @property
     def silent(self) -> bool:
-        """Whether the target has stopped answering its owner."""
-        return self._reader.silent
+        """Whether the target no longer answers its owner."""
+        return self._poller.silent
 
     @property
-    def grants(self) -> GrantGiver:
-        """The part that gives, extends and takes back grants."""
-        return self._giver
+    def grants(self) -> GrantIssuer:
+        """The part that issues, renews and takes back grants."""
+        return self._grant_issuer
 
     @property
-    def evicts_end_at(self) -> float:
-        """When every eviction that was sent has surely taken effect, or never will."""
-        return self._orders.evicts_end_at
+    def evictions_end_at(self) -> float:
+        """When all evictions that were sent have taken effect, or never will."""
+        return self._orders.evictions_end_at
 
     def start(self) -> None:
-        """Begin to read reports."""
+        """Start to poll the target."""
         self._timer = self._timers.every(
             self._settings["REPORT_INTERVAL_S"],
             self.poll,
@@ -174,14 +179,14 @@
         )
         self._events.emit(EventKind.TARGET_OWNED, self._target.name, fence=self._fence)
 
-    def give_up(self) -> None:
-        """Grant and order nothing from now on; what is under way ends in ``stop``."""
+    def release(self) -> None:
+        """Stop granting and ordering; ``stop`` ends what is under way."""
         self._orders.stop()
         self._changed.fire()
 
     async def stop(self) -> None:
-        """End; grants that are out run out by themselves."""
-        self.give_up()
+        """End polls and loads; outstanding grants expire by themselves."""
+        self.release()
         if self._timer is not None:
             self._timer.cancel()
         await self._loader.stop()
@@ -191,47 +196,47 @@
         )
 
     def state(self, serial: int) -> TargetState:
-        """Return what other VMs are told; a silent target has nothing to offer."""
+        """Return the state to announce; a silent target offers no slots."""
         silent = self.silent
         return TargetState(
             target=self._target.name,
             fence=self._fence,
             serial=serial,
             slots=0 if silent else self._residency.size,
-            running=self._reader.running,
-            queued=self._reader.queued,
+            running=self._poller.running,
+            queued=self._poller.queued,
             leaving=self.leaving,
-            residents=() if silent else self._told_residents(),
+            residents=() if silent else self._announced_residents(),
             boot_id=self._residency.boot_id or "",
         )
 
     def suspect(self) -> None:
-        """Probe the target soon: a request failed there."""
-        self._reader.want_probe()
+        """Probe the target soon, since a request failed there."""
+        self._poller.request_probe()
         if not self._polling:
             self._timers.after(0, self.poll, name="suspected target")
 
     async def poll(self) -> None:
-        """Fence, probe and read the report, as far as each is due."""
+        """Fence, probe and read the report, each if it is due."""
         if self._polling:
             return
         self._polling = True
         try:
             if self._orders.right() is not OrderRight.NONE:
-                self._guard.has_right()
+                self._guard.record_right()
                 if self._guard.needs_fence:
                     await self._orders.fence()
-            await self._reader.read()
+            await self._poller.poll()
         finally:
             self._polling = False
-        if self._predecessor_gone():
-            self._guard.predecessor_gone()
+        if self._has_predecessor_stopped():
+            self._guard.on_predecessor_stopped()
         self._loader.start_loads()
         self._changed.fire()
-        self._metrics.grants_out.labels(self._target.name).set(self._ledger.out)
+        self._metrics.grants_out.labels(self._target.name).set(self._ledger.outstanding)
 
-    def _told_residents(self) -> tuple[Resident, ...]:
-        """Return the residents and the loads that wait, so that others join them."""
+    def _announced_residents(self) -> tuple[Resident, ...]:
+        """Return residents and waiting loads, so that other requests join a load."""
         residents = self._residency.residents()
         known = {resident[:2] for resident in residents}
         waiting = (r for r in self._queue.residents() if r[:2] not in known)
@@ -239,7 +244,7 @@
 
     def _refusal(self) -> Failure | None:
         if self._orders.right() is OrderRight.NONE:
-            return no_grant(f"no right to grant on {self._target.name}")
+            return no_grant(f"this owner may not grant on {self._target.name} now")
         if self.leaving:
             detail = f"{self._target.name} is leaving"
             return Failure(ErrorKind.TARGET_REFUSED, detail)
@@ -259,10 +264,10 @@
             self._cast(grant.vm, RevokeGrant(self._target.name, grant.grant_id))
 
     def _on_restart(self) -> None:
-        """Ask all grants back: the slots are empty.
+        """Revoke all grants, since the slots are empty.
 
-        Nothing is loaded again by itself. Requests ask for what they need, through
-        the allowance, so that a restart makes no stampede on the weight store.
+        Adapters are loaded again only when requests need them, within the load
+        allowance. Reloading all at once would overload the weight store.
         """
         self._revoke(self._ledger.revoke_all())
-        self._loader.restarted()
+        self._loader.on_restart()
--- a/hawthornlead/gateway/engine_rooms.py
+++ b/hawthornlead/gateway/engine_managers.py
@@ -25,10 +25,8 @@
 from .engine_releases import EngineReleases
 from .engine_slots import AdapterKey
 from .gateway_metrics import GatewayMetrics
-from .holding_words import HoldingWords
-from .known_targets import KnownTargets
-from .late_orders import LATE_ORDER_S, LateOrders
-from .load_words import LoadWords
+from .holding_announcements import HoldingAnnouncements
+from .load_announcements import LoadAnnouncements
 from .memberships import Memberships
 from .ownerships import Ownerships
 from .records import (
@@ -38,8 +36,10 @@
     RestartSeen,
     TargetEntry,
 )
-from .slot_queues import SlotWanted
+from .slot_queues import SlotRequest
 from .target_loads import TargetLoads
+from .target_tables import TargetTable
+from .unacknowledged_orders import LATE_ORDER_S, UnacknowledgedOrders
 
 CLAIM_EVERY_S = 0.25
 # A count of uses is forgotten after some half-lives of 10 s.
@@ -52,7 +52,7 @@
 CHANGES_S = 3.0
 
 
-class EngineRoom:
+class EngineManager:
     """Claims engines, orders those that are owned, and tells what they hold."""
 
     def __init__(
@@ -60,7 +60,7 @@
         *,
         memberships: Memberships,
         ownerships: Ownerships,
-        targets: KnownTargets,
+        targets: TargetTable,
         loads: TargetLoads,
         calls: EngineCalls,
         mesh: FleetMesh,
@@ -83,7 +83,7 @@
         self._orphaned_at: dict[str, float] = {}
         # Times of first fetches and of those that an engine held lately.
         self._arrivals = {False: ArrivalTimes(), True: ArrivalTimes()}
-        self._words = LoadWords(
+        self._words = LoadAnnouncements(
             memberships=memberships,
             loads=loads,
             mesh=mesh,
@@ -92,11 +92,11 @@
             owned=lambda: self.owned,
             quotas=quotas,
         )
-        self._holding_words = HoldingWords(
+        self._holding_words = HoldingAnnouncements(
             mesh=mesh,
             timers=timers,
             own=self._all_holdings,
-            on_told=targets.take_holdings,
+            on_told=targets.apply_holdings,
         )
         self._releases = EngineReleases(
             memberships=memberships,
@@ -111,8 +111,8 @@
         self._stopped = False
         self._subscriptions = []
         targets.subscribe_restarts(self._on_restarted)
-        targets.subscribe(lambda lost, _: self._holding_words.forget(lost.target))
-        mesh.on_subscribed = self._holding_words.tell_all
+        targets.subscribe(lambda lost, _: self._holding_words.discard(lost.target))
+        mesh.on_subscribed = self._holding_words.announce_all
         mesh.on(LoadAdapter, self._on_load)
         mesh.on(ReservePrompt, self._on_reserve)
         mesh.on(AdapterMissing, self._on_missing)
@@ -144,7 +144,7 @@
         for subscription in self._subscriptions:
             subscription.cancel()
         owned, self._owners = tuple(self._owners.values()), {}
-        await self._releases.give_back(owned)
+        await self._releases.release_all(owned)
         # A claim that is cut off may have reached the store; the engine then waited
         # for this VM's lease to run out.
         await self._changes.settle(CHANGES_S)
@@ -160,15 +160,15 @@
         """Return how many requests use each adapter of an engine, over all VMs."""
         return self._loads.adapters_running(target)
 
-    def told_every_s(self) -> float:
+    def announce_interval_s(self) -> float:
         """Return how often each VM tells of its requests, in seconds."""
-        return self._words.told_within_s
+        return self._words.max_report_age_s
 
-    def take(self, configuration: Configuration) -> None:
+    def apply_configuration(self, configuration: Configuration) -> None:
         """Take a newer configuration."""
         self._configuration = configuration
 
-    def tell_all(self, vm: str) -> None:
+    def announce_all(self, vm: str) -> None:
         """Tell a VM that has just been connected about all owned engines."""
         for holdings in self._all_holdings():
             self._mesh.cast(vm, holdings)
@@ -261,7 +261,7 @@
     ) -> None:
         """Begin to order one incarnation of an engine."""
         target = entry.target
-        late = LateOrders(
+        late = UnacknowledgedOrders(
             timers=self._timers,
             since=self._targets.known_since(target),
             unanswered_until=unanswered_until,
@@ -287,9 +287,11 @@
     def _heard_restart(self, target: str, started_ms: int | None) -> None:
         """Take what a report of an engine showed; ``_on_restarted`` follows."""
         if started_ms is None:
-            self._targets.note_count_back(target)
+            self._targets.on_order_count_reset(target)
             return
-        self._targets.hear(Incarnation(target, started_ms), RestartSeen.REPORT)
+        self._targets.observe_incarnation(
+            Incarnation(target, started_ms), RestartSeen.REPORT
+        )
 
     def _spec(self, entry: TargetEntry) -> EngineSpec | None:
         service = self._configuration.service(entry.service)
@@ -299,7 +301,7 @@
 
     def _publish(self, owner: EngineOwner) -> None:
         """Tell all VMs, this one too, what an engine holds."""
-        self._targets.take_holdings(self._memberships.vm, owner.holdings)
+        self._targets.apply_holdings(self._memberships.vm, owner.holdings)
         self._tasks.spawn_once(f"tell {owner.target}", lambda: self._tell(owner))
 
     async def _tell(self, owner: EngineOwner) -> None:
@@ -308,7 +310,7 @@
             gather_s += GATHER_EACH_S * len(self._memberships.live())
         await self._timers.sleep(gather_s)
         if self._owners.get(owner.target) is owner:
-            self._holding_words.tell(owner.holdings)
+            self._holding_words.announce(owner.holdings)
 
     def _note_uses(self, word: VmLoads) -> None:
         """Count the starts that a VM tells of for the engines owned here."""
@@ -328,7 +330,7 @@
         A message of a later start than the known one tells of a restart.
         """
         told = Incarnation(target, started_ms)
-        if not self._targets.hear(told, RestartSeen.WORD):
+        if not self._targets.observe_incarnation(told, RestartSeen.WORD):
             return None
         return self._owners.get(target)
 
@@ -339,7 +341,7 @@
             return failed(Failure(ErrorKind.NO_GRANT, detail, 0.2))
         key = AdapterKey(message.model, message.adapter)
         now = self._timers.now()
-        wanted = SlotWanted(
+        wanted = SlotRequest(
             key, message.rank, now + message.due_s, now + message.slot_wait_s
         )
         loaded: Result = await owner.load(wanted, message.version, message.wait_s)
@@ -369,7 +371,7 @@
         if owner is None:
             return
         key = AdapterKey(message.model, message.adapter)
-        self._loads.take_ended(sender.vm, message.target, key, message.running)
+        self._loads.apply_ended(sender.vm, message.target, key, message.running)
         owner.end_turn(key, sender.vm)
 
     async def _on_missing(self, sender, message: AdapterMissing) -> None:
--- a/hawthornlead/gateway/engine_releases.py
+++ b/hawthornlead/gateway/engine_releases.py
@@ -12,9 +12,9 @@
 from ..messages.gateways import TargetReleased
 from ..timers import TimerService
 from .engine_owners import EngineOwner
-from .known_targets import KnownTargets
 from .memberships import Memberships
 from .ownerships import Ownerships
+from .target_tables import TargetTable
 
 # Between looks whether the store is back.
 STORE_LOOK_S = 0.2
@@ -25,7 +25,7 @@
 
     ::
 
-        await releases.give_back(tuple(owners.values()))
+        await releases.release_all(tuple(owners.values()))
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         *,
         memberships: Memberships,
         ownerships: Ownerships,
-        targets: KnownTargets,
+        targets: TargetTable,
         mesh: FleetMesh,
         timers: TimerService,
     ):
@@ -58,7 +58,7 @@
                 return
             await self._timers.sleep(STORE_LOOK_S)
 
-    async def give_back(self, owners: tuple[EngineOwner, ...]) -> None:
+    async def release_all(self, owners: tuple[EngineOwner, ...]) -> None:
         """Order engines no more, and let others claim them."""
         await asyncio.gather(*[self._release(owner) for owner in owners])
 
@@ -70,9 +70,9 @@
             # The store may or may not have taken it. The others find out by the lease.
             return
         word = TargetReleased(owner.target, released.fence)
-        self._targets.note_released(self._memberships.vm, word.target, word.fence)
+        self._targets.on_released(self._memberships.vm, word.target, word.fence)
         self._mesh.broadcast(word)
 
     async def _on_released(self, sender, message: TargetReleased) -> None:
-        self._targets.note_released(sender.vm, message.target, message.fence)
+        self._targets.on_released(sender.vm, message.target, message.fence)
         self._ownerships.note_released(message.target)
--- a/hawthornlead/gateway/gateway_parts.py
+++ b/hawthornlead/gateway/gateway_parts.py
@@ -20,10 +20,10 @@
 from ..mesh.sparse_peers import SparsePeerMesh
 from .crash_watches import CrashWatch
 from .engine_calls import EngineCalls
-from .engine_rooms import EngineRoom
+from .engine_managers import EngineManager
 from .gateway_metrics import GatewayMetrics
-from .known_targets import KnownTargets
-from .leaving_words import LeavingWords
+from .leaving_notices import LeavingNotices
+from .loss_detectors import LossDetector
 from .memberships import Memberships
 from .ownerships import Ownerships
 from .placers import Placer
@@ -31,20 +31,20 @@
 from .routes import RouteTable
 from .run_times import RunTimes
 from .store_clients import StoreClient
+from .target_backoffs import TargetBackoffs
 from .target_connections import TargetConnections
 from .target_healths import TargetHealths
 from .target_limits import TargetLimits
 from .target_loads import TargetLoads
-from .target_losses import TargetLosses
 from .target_probes import TargetProbes
-from .target_rests import TargetRests
+from .target_tables import TargetTable
 from .vm_leases import VmLease
 from .watch_relays import WatchRelays
 from .workspaces import WorkspaceTable
 
 # A VM that doesn't know how many there are takes so many for granted: too many, so that
 # all of them together stay below a quota.
-UNKNOWN_VMS = 400
+ASSUMED_VMS = 400
 
 
 class Coordination(NamedTuple):
@@ -62,11 +62,11 @@
 class TargetParts(NamedTuple):
     """What this VM knows of targets, its connections, and the engines it orders."""
 
-    targets: KnownTargets
+    targets: TargetTable
     connections: TargetConnections
     loads: TargetLoads
     healths: TargetHealths
-    room: EngineRoom
+    engine_manager: EngineManager
 
 
 class GatewayParts:
@@ -77,17 +77,17 @@
         *,
         core: CoreParts,
         metrics: GatewayMetrics,
-        targets: KnownTargets,
+        targets: TargetTable,
         placer: Placer,
         connections: TargetConnections,
         loads: TargetLoads,
         healths: TargetHealths,
         suspects: Suspects,
-        deaths: CrashWatch,
-        losses: TargetLosses,
+        crash_watch: CrashWatch,
+        loss_detector: LossDetector,
         limits: TargetLimits,
-        rests: TargetRests,
-        leaving_words: LeavingWords,
+        backoffs: TargetBackoffs,
+        leaving_notices: LeavingNotices,
         run_times: RunTimes,
         quotas: QuotaLedger,
     ):
@@ -103,11 +103,11 @@
         self.loads = loads
         self.healths = healths
         self.suspects = suspects
-        self.deaths = deaths
-        self.losses = losses
+        self.crash_watch = crash_watch
+        self.loss_detector = loss_detector
         self.limits = limits
-        self.rests = rests
-        self.leaving_words = leaving_words
+        self.backoffs = backoffs
+        self.leaving_notices = leaving_notices
         self.run_times = run_times
         self.quotas = quotas
         self.configuration: Configuration | None = None
@@ -125,18 +125,18 @@
             )
         return budget
 
-    def take(self, configuration: Configuration) -> None:
+    def apply_configuration(self, configuration: Configuration) -> None:
         """Put a configuration in force."""
         self.configuration = configuration
         self.routes = RouteTable(configuration.routes)
         self.workspaces = WorkspaceTable(configuration.workspaces)
-        self.placer.take(configuration)
+        self.placer.apply_configuration(configuration)
         limits = {}
         for workspace in configuration.workspaces or ():
             quota = workspace.quota
             if quota is not None:
                 limits[workspace.name] = Limit(quota.rate, quota.burst)
-        self.quotas.take(limits)
+        self.quotas.apply_limits(limits)
 
 
 def build_coordination(core: CoreParts, metrics: GatewayMetrics) -> Coordination:
@@ -203,7 +203,7 @@
         now=timers.now,
         rng=rng,
         share=lambda: memberships.heard_share,
-        vms=lambda: registered_order.count or UNKNOWN_VMS,
+        vms=lambda: registered_order.count or ASSUMED_VMS,
     )
     return Coordination(client, mesh, memberships, lease, ownerships, relays, quotas)
 
@@ -213,10 +213,10 @@
 ) -> TargetParts:
     """Build what knows targets and orders those that this VM owns."""
     timers, memberships = core.timers, coordination.memberships
-    targets = KnownTargets(memberships=memberships, timers=timers, events=core.events)
+    targets = TargetTable(memberships=memberships, timers=timers, events=core.events)
     connections = TargetConnections(timers=timers)
     loads = TargetLoads(timers=timers, incarnation=targets.incarnation)
-    room = EngineRoom(
+    engine_manager = EngineManager(
         memberships=memberships,
         ownerships=coordination.ownerships,
         targets=targets,
@@ -228,7 +228,9 @@
         metrics=metrics,
         quotas=coordination.quotas,
     )
-    return TargetParts(targets, connections, loads, TargetHealths(timers=timers), room)
+    return TargetParts(
+        targets, connections, loads, TargetHealths(timers=timers), engine_manager
+    )
 
 
 def build_requests(
@@ -242,14 +244,14 @@
     suspects = Suspects(
         settings=core.settings, timers=timers, events=core.events, mesh=mesh
     )
-    deaths = CrashWatch(
+    crash_watch = CrashWatch(
         suspects=suspects,
         connections=known.connections,
         mesh=mesh,
         timers=timers,
         events=core.events,
     )
-    losses = TargetLosses(
+    loss_detector = LossDetector(
         targets=known.targets,
         probes=TargetProbes(
             connections=known.connections, timers=timers, metrics=metrics
@@ -265,7 +267,7 @@
         rng=core.rng,
         events=core.events,
         mesh=mesh,
-        vms=lambda: coordination.memberships.registered_order.count or UNKNOWN_VMS,
+        vms=lambda: coordination.memberships.registered_order.count or ASSUMED_VMS,
         incarnation=known.targets.incarnation,
     )
     metrics.watch(
@@ -273,7 +275,7 @@
         "Targets that name a limit of requests a second",
         lambda: len(limits.named),
     )
-    rests = TargetRests(timers=timers, events=core.events)
+    backoffs = TargetBackoffs(timers=timers, events=core.events)
     run_times = RunTimes()
     placer = Placer(
         data_centre=core.settings["DATA_CENTRE"],
@@ -281,7 +283,7 @@
         loads=known.loads,
         healths=known.healths,
         limits=limits,
-        rests=rests,
+        backoffs=backoffs,
         mesh=mesh,
         timers=timers,
         metrics=metrics,
@@ -291,17 +293,17 @@
     def drop_former(former: TargetEntry, entry: TargetEntry) -> None:
         """Drop what was noted of a target's start that is over."""
         known.connections.forget(former.address)
-        known.healths.forget(former.target)
-        known.loads.restarted(former.target)
-        placer.forget(former.target)
-        limits.forget(former.target)
-        rests.forget(former.target)
-        deaths.restarted(former)
+        known.healths.discard(former.target)
+        known.loads.on_restarted(former.target)
+        placer.discard(former.target)
+        limits.discard(former.target)
+        backoffs.discard(former.target)
+        crash_watch.on_restarted(former)
 
     known.targets.subscribe_restarts(drop_former)
-    known.targets.subscribe(lambda lost, _: placer.forget(lost.target))
-    known.targets.subscribe(lambda lost, _: limits.forget(lost.target))
-    known.targets.subscribe(lambda lost, _: rests.forget(lost.target))
+    known.targets.subscribe(lambda lost, _: placer.discard(lost.target))
+    known.targets.subscribe(lambda lost, _: limits.discard(lost.target))
+    known.targets.subscribe(lambda lost, _: backoffs.discard(lost.target))
     return GatewayParts(
         core=core,
         metrics=metrics,
@@ -311,11 +313,11 @@
         loads=known.loads,
         healths=known.healths,
         suspects=suspects,
-        deaths=deaths,
-        losses=losses,
+        crash_watch=crash_watch,
+        loss_detector=loss_detector,
         limits=limits,
-        rests=rests,
-        leaving_words=LeavingWords(targets=known.targets, mesh=mesh),
+        backoffs=backoffs,
+        leaving_notices=LeavingNotices(targets=known.targets, mesh=mesh),
         run_times=run_times,
         quotas=coordination.quotas,
     )
--- a/hawthornlead/gateway/load_words.py
+++ b/hawthornlead/gateway/load_announcements.py
@@ -40,7 +40,7 @@
 SILENT_S = 1.0
 
 
-class LoadWords:
+class LoadAnnouncements:
     """Tells the other VMs of this VM's requests, and takes their words.
 
     ``on_word`` is called with each word, also with this VM's own; ``owned`` returns the
@@ -80,7 +80,7 @@
         mesh.on(FleetUpdate, self._take_fleet)
 
     @property
-    def told_within_s(self) -> float:
+    def max_report_age_s(self) -> float:
         """How old what is known of a VM's requests may be, in seconds."""
         if self._mesh.large:
             return GATHERED_STEPS * GATHER_S
@@ -97,16 +97,16 @@
     async def _tell_on(self) -> None:
         while True:
             large = self._mesh.large
-            await self._timers.sleep(GATHER_S if large else self.told_within_s)
-            self.tell()
+            await self._timers.sleep(GATHER_S if large else self.max_report_age_s)
+            self.announce()
 
-    def tell(self) -> None:
+    def announce(self) -> None:
         """Tell of this VM and its requests once, and pass on what was gathered."""
-        word = self._loads.word()
+        word = self._loads.build_update()
         self._on_word(word)
         if not self._mesh.large:
             self._count_quotas()
-            self._mesh.broadcast(word._replace(quotas=self._quotas.told_uses()))
+            self._mesh.broadcast(word._replace(quotas=self._quotas.collect_uses()))
             return
         state = self._memberships.own_state()
         if not self._mesh.is_head:
@@ -114,7 +114,7 @@
             return
         self._mesh.table.apply(state)
         self._count_quotas()
-        told = MemberLoads(state, word.loads, self._quotas.told_uses())
+        told = MemberLoads(state, word.loads, self._quotas.collect_uses())
         self._note_near(told)
         self._note_silent()
         self._pass_on()
@@ -122,7 +122,7 @@
     def _count_quotas(self) -> None:
         """Count the quotas by what all VMs tell, where this VM knows who they are."""
         if self._memberships.registered_order.count:
-            self._quotas.note_counting()
+            self._quotas.mark_counting_locally()
 
     def _tell_heads(self, state: MemberState, word: VmLoads) -> None:
         """Tell the heads of this data centre, one of which feeds this VM."""
@@ -130,7 +130,7 @@
         owned = self._owned()
         for head in self._mesh.links.local_heads:
             if head == feed:
-                uses = self._quotas.told_uses()
+                uses = self._quotas.collect_uses()
                 message = MemberUpdate(state, True, serial, owned, word.loads, uses)
             else:
                 message = MemberUpdate(state, False, NO_SERIAL, (), ())
@@ -229,7 +229,7 @@
         if not message.subscribed:
             return
         self._note_near(MemberLoads(message.state, message.loads, message.quotas))
-        self._quotas.take_uses(message.quotas)
+        self._quotas.apply_uses(message.quotas)
         self._take(vm, VmLoads(message.loads))
         if begins:
             self._mesh.on_subscribed(vm)
@@ -252,7 +252,7 @@
             if vm == self._mesh.vm:
                 continue
             changed |= self._mesh.table.apply(member.state)
-            self._quotas.take_uses(member.quotas)
+            self._quotas.apply_uses(member.quotas)
             if not member.state.silent:
                 self._words[vm] = member
                 self._take(vm, VmLoads(member.loads))
@@ -275,8 +275,8 @@
         """Take a head's word on members and targets."""
         if sender.vm != self._mesh.upstream_head:
             return
-        self._loads.take_totals(message.running)
-        self._quotas.take_states(message.quotas, message.quota_share)
+        self._loads.apply_totals(message.running)
+        self._quotas.apply_states(message.quotas, message.quota_share)
         table = self._mesh.table
         if message.since == NO_SERIAL:
             table.replace_all(message.members)
@@ -291,7 +291,7 @@
         self._mesh.upstream_serial = message.serial
 
     async def _take_word(self, sender, message: VmLoads) -> None:
-        self._quotas.take_uses(message.quotas)
+        self._quotas.apply_uses(message.quotas)
         self._take(sender.vm, message)
 
     async def _take_gathered(self, sender, message: GatheredLoads) -> None:
@@ -300,7 +300,7 @@
                 self._take(word.vm, VmLoads(word.loads))
 
     def _take(self, vm: str, word: VmLoads) -> None:
-        self._loads.take(vm, word)
+        self._loads.apply_loads(vm, word)
         self._on_word(word)
 
 
--- a/hawthornlead/gateway/target_beliefs.py
+++ b/hawthornlead/gateway/observed_targets.py
@@ -10,7 +10,7 @@
 from .records import TargetEntry, held_version
 
 
-class TargetBeliefs:
+class ObservedTarget:
     """What was told of one incarnation; ``since`` is when this VM first heard of it.
 
     ``owner`` and ``fence`` outlive an incarnation: the same VM orders the next one,
@@ -18,8 +18,8 @@
 
     ::
 
-        beliefs = TargetBeliefs(started_ms=1790000000000, since=timers.now())
-        beliefs.take("edge-1", holdings, timers.now())
+        beliefs = ObservedTarget(started_ms=1790000000000, since=timers.now())
+        beliefs.apply("edge-1", holdings, timers.now())
         beliefs.held(entry, AdapterKey("m", "a3"))
     """
 
@@ -41,7 +41,7 @@
         """How many adapters are on their way, as told."""
         return sum(not ready for _, ready in self._held.values())
 
-    def take(self, vm: str, told: TargetHoldings, now: float) -> None:
+    def apply(self, vm: str, told: TargetHoldings, now: float) -> None:
         """Take an owner's word; an older owner's counts no more."""
         number = self._told.number if self._told else -1
         if (told.fence, told.number) < (self.fence, number):
@@ -50,7 +50,7 @@
         self.owner = vm
         self.fence = told.fence
         self.turn_at = now + told.turn_s
-        self._recent.keep(told.recently_kept)
+        self._recent.set_limit(told.recently_kept)
         before = self._held
         held = told.adapters
         keys = map(AdapterKey, held.models, held.names)
@@ -59,7 +59,7 @@
         for key in before.keys() - self._held.keys():
             self._recent.note(key)
 
-    def note_released(self, vm: str, fence: int) -> None:
+    def on_released(self, vm: str, fence: int) -> None:
         """Note that an owner gave the target back; its words of before count no more.
 
         In a large fleet they go through relays and may come after this one. A claim's
@@ -91,6 +91,6 @@
         """Whether the target held an adapter lately, which it loads faster then."""
         return key in self._recent
 
-    def note_absent(self, key: AdapterKey) -> None:
+    def mark_absent(self, key: AdapterKey) -> None:
         """Note that the target refused a request for lack of its adapter."""
         self._held.pop(key, None)
--- a/hawthornlead/gateway/forwards.py
+++ b/hawthornlead/gateway/request_forwards.py
@@ -13,12 +13,12 @@
 from ..platform.headers import read_caller_request
 from .caller_calls import CallerCall
 from .gateway_parts import GatewayParts
-from .placers import Placed, Wanted
+from .placers import Placed, PlacementRequest
 from .records import CallerRequest, Route, Workspace
-from .request_reports import RequestReport
+from .request_reporters import RequestReporter
 from .routes import choose_service
 from .stream_relays import CallerStream
-from .target_attempts import LEAST_LEFT_S, Attempts, Ending
+from .target_attempts import MIN_REMAINING_S, AttemptOutcome, Attempts
 from .workspaces import ranked
 
 # A request is offered to so many targets at most that refuse it unrun.
@@ -30,11 +30,16 @@
 # These tell a caller that its request has not run and never will.
 UNRUN_STATUSES = frozenset((404, 429, 503))
 UNRUN_ENDINGS = frozenset(
-    (Ending.UNREACHED, Ending.UNWANTED, Ending.REFUSED, Ending.TOO_EARLY)
+    (
+        AttemptOutcome.UNREACHED,
+        AttemptOutcome.UNWANTED,
+        AttemptOutcome.REFUSED,
+        AttemptOutcome.TOO_EARLY,
+    )
 )
 
 
-class Forward:
+class RequestForward:
     """One request of a caller on its way."""
 
     def __init__(self, parts: GatewayParts, call: CallerCall):
@@ -42,7 +47,7 @@
         self._call = call
         self._request: CallerRequest = read_caller_request(call.headers)
         self._stream = CallerStream(call)
-        self._report = RequestReport(parts, call, self._request, self._stream)
+        self._reporter = RequestReporter(parts, call, self._request, self._stream)
         self._deadline_at = 0.0
         self._excluded: set[str] = set()
         self._attempts: Attempts | None = None
@@ -59,7 +64,7 @@
         """Serve the request to its end."""
         parts = self._parts
         if parts.routes is None:
-            self._report.refuse(
+            self._reporter.refuse(
                 Failure(ErrorKind.NOT_READY, "no configuration yet", 0.3)
             )
             return
@@ -74,13 +79,13 @@
         workspace = found.ok_value
         charged = self._charge(workspace)
         if charged.is_err():
-            self._report.refuse(charged.err_value)
+            self._reporter.refuse(charged.err_value)
             return
         try:
             await self._serve_for(workspace, ranked(route, workspace))
         finally:
             if not self._may_have_run:
-                parts.quotas.give_back(*charged.ok_value)
+                parts.quotas.refund(*charged.ok_value)
 
     async def _serve_for(self, workspace: Workspace | None, route: Route) -> None:
         """Serve the request at its route, in the name of a workspace if it has one."""
@@ -93,13 +98,13 @@
             self._call,
             self._request,
             self._stream,
-            self._report,
+            self._reporter,
             self._deadline_at,
             self._fingerprint(),
             workspace,
         )
         service = choose_service(route, self._parts.rng)
-        self._parts.budget(service).first_attempt()
+        self._parts.budget(service).record_first_attempt()
         await self._serve(route, service)
 
     def _find_workspace(self, route: Route) -> Result[Workspace | None, Failure]:
@@ -124,7 +129,7 @@
 
     def refuse(self, failure: Failure) -> None:
         """Answer with a failure, unless an answer was begun or the caller left."""
-        self._report.refuse(failure)
+        self._reporter.refuse(failure)
 
     def _refuse_unknown(self, failure: Failure) -> None:
         """Refuse what the configuration in force doesn't know.
@@ -135,16 +140,16 @@
         if not self._parts.configuration_is_current():
             detail = f"{failure.detail}, by a configuration that may be old"
             failure = Failure(ErrorKind.NOT_READY, detail, STALE_RETRY_S)
-        self._report.refuse(failure)
+        self._reporter.refuse(failure)
 
     async def _serve(self, route: Route, service: str) -> None:
         convicted = self._parts.suspects.check(self._fingerprint())
         if convicted.is_err():
             failure = convicted.err_value
-            self._report.refuse(failure._replace(kind=ErrorKind.OVERLOADED))
+            self._reporter.refuse(failure._replace(kind=ErrorKind.OVERLOADED))
             return
         while True:
-            wanted = Wanted(
+            wanted = PlacementRequest(
                 route,
                 service,
                 self._request,
@@ -156,11 +161,11 @@
             if placed.is_err():
                 self._end_unplaced(placed.err_value)
                 return
-            self._report.placed(placed.ok_value)
+            self._reporter.placed(placed.ok_value)
             try:
                 ending = await self._attempt(route, service, placed.ok_value)
             finally:
-                self._parts.placer.note_ended(placed.ok_value)
+                self._parts.placer.notify_ended(placed.ok_value)
             if ending is None:
                 return
             if not await self._goes_on(route, placed.ok_value, ending):
@@ -168,37 +173,39 @@
 
     async def _attempt(
         self, route: Route, service: str, placed: Placed
-    ) -> Ending | None:
+    ) -> AttemptOutcome | None:
         """Send the request to its target; None if it isn't sent to any after all."""
         if self._call.left:
             return None
-        if self._report.sent and not self._parts.budget(service).take():
+        if self._reporter.sent and not self._parts.budget(service).acquire():
             self._end_unplaced(
                 Failure(ErrorKind.OVERLOADED, "the retry budget is spent", 0.5)
             )
             return None
         return await self._attempts.make(route, placed)
 
-    async def _goes_on(self, route: Route, placed: Placed, ending: Ending) -> bool:
+    async def _goes_on(
+        self, route: Route, placed: Placed, ending: AttemptOutcome
+    ) -> bool:
         """Whether another attempt follows; if not, the caller has its answer."""
         target = placed.entry.target
         self._may_have_run = self._may_have_run or ending not in UNRUN_ENDINGS
-        if ending is Ending.DONE:
+        if ending is AttemptOutcome.DONE:
             return False
-        if ending is Ending.LEFT:
-            self._report.caller_gone(target)
+        if ending is AttemptOutcome.LEFT:
+            self._reporter.caller_gone(target)
             return False
-        self._report.attempt_failed(
+        self._reporter.attempt_failed(
             target, ending.value, self._attempts.left_s, self._attempts.loss
         )
-        if ending is Ending.TOO_EARLY and not self._waited:
+        if ending is AttemptOutcome.TOO_EARLY and not self._waited:
             # The adapter is a few milliseconds late, or the target is full. One more
             # try where it is about to be costs less than a load elsewhere.
             self._waited = True
             await self._parts.timers.sleep(TOO_EARLY_S)
             return True
         self._excluded.add(target)
-        if ending is Ending.LATE:
+        if ending is AttemptOutcome.LATE:
             self._end_late()
             return False
         if ending in UNRUN_ENDINGS:
@@ -206,17 +213,17 @@
                 return True
             self._end_unplaced(Failure(ErrorKind.OVERLOADED, "no target took it", 0.4))
             return False
-        self._report.ran += 1
+        self._reporter.ran += 1
         may_repeat = route.repeatable or (
             route.resumable and (not self._stream.begun or self._resumes())
         )
-        if may_repeat and self._report.ran < route.attempts and self._in_time():
+        if may_repeat and self._reporter.ran < route.attempts and self._in_time():
             return True
         self._end_failed()
         return False
 
     def _in_time(self) -> bool:
-        return self._attempts.left_s > LEAST_LEFT_S
+        return self._attempts.left_s > MIN_REMAINING_S
 
     def _resumes(self) -> bool:
         self._attempts.last_event = self._stream.last_event
@@ -226,32 +233,32 @@
 
     def _end_unplaced(self, failure: Failure) -> None:
         """Answer a request that goes to no further target."""
-        if self._report.ran:
+        if self._reporter.ran:
             self._end_failed()
             return
         if failure.answer.status not in UNRUN_STATUSES:
             # What failed is a question to another VM or to an engine about a load.
             # The request itself was not sent, and its caller may send it again.
             failure = failure._replace(kind=ErrorKind.NO_TARGET)
-        self._report.refuse(failure)
+        self._reporter.refuse(failure)
 
     def _end_failed(self) -> None:
         """Answer a request that has run, or may have, without a whole answer."""
         if self._stream.begun:
             lost = self._attempts.loss is not None
-            self._report.cut("the target is lost" if lost else "the target failed")
+            self._reporter.cut("the target is lost" if lost else "the target failed")
             return
         if self._attempts.failed_answer is not None:
-            self._report.answer(self._attempts.failed_answer)
+            self._reporter.answer(self._attempts.failed_answer)
             return
-        self._report.refuse(self._parts.losses.failure(self._attempts.loss))
+        self._reporter.refuse(self._parts.loss_detector.failure(self._attempts.loss))
 
     def _end_late(self) -> None:
         """Answer a request whose deadline has passed while a target had it."""
         if self._stream.begun:
-            self._report.cut("the deadline passed")
+            self._reporter.cut("the deadline passed")
             return
-        self._report.refuse(Failure(ErrorKind.DEADLINE_PASSED, "the deadline passed"))
+        self._reporter.refuse(Failure(ErrorKind.DEADLINE_PASSED, "the deadline passed"))
 
     # Small queries
 
--- a/hawthornlead/gateway/target_attempts.py
+++ b/hawthornlead/gateway/target_attempts.py
@@ -6,22 +6,22 @@
 from ..platform.headers import request_headers
 from .caller_calls import CallerCall
 from .gateway_parts import GatewayParts
-from .loss_beliefs import Follower
 from .placers import Placed
 from .records import CallerRequest, Loss, Route, RouteKind, TargetEntry, Workspace
-from .request_reports import RequestReport
+from .request_reporters import RequestReporter
 from .stream_relays import CallerStream, StreamRelay
 from .target_choices import Holding
 from .target_connections import AnswerSink, Exchange, Head, WholeAnswer
-from .target_probes import ANOTHER_ID
+from .target_liveness import LossSubscriber
+from .target_probes import MISDIRECTED_STATUS
 
 # What is left of a deadline must allow this much, else nothing is begun.
-LEAST_LEFT_S = 0.02
+MIN_REMAINING_S = 0.02
 # A target that says nothing for this long while others answer is slow, or dark.
 SILENT_S = 1.2
 
 
-class Ending(Enum):
+class AttemptOutcome(Enum):
     """How one attempt at one target has ended."""
 
     DONE = "done"
@@ -49,7 +49,7 @@
         call: CallerCall,
         request: CallerRequest,
         stream: CallerStream,
-        report: RequestReport,
+        reporter: RequestReporter,
         deadline_at: float,
         fingerprint: bytes,
         workspace: Workspace | None = None,
@@ -59,7 +59,7 @@
         self._call = call
         self._request = request
         self._stream = stream
-        self._report = report
+        self._reporter = reporter
         self._deadline_at = deadline_at
         self._fingerprint = fingerprint
         # The target's places, and its requests when the attempt began.
@@ -73,40 +73,42 @@
         """What is left of the deadline."""
         return self._deadline_at - self._parts.timers.now()
 
-    async def make(self, route: Route, placed: Placed) -> Ending:
+    async def make(self, route: Route, placed: Placed) -> AttemptOutcome:
         """Send the request to a target and pass its answer on."""
         entry = placed.entry
-        losses = self._parts.losses
+        loss_detector = self._parts.loss_detector
         self.loss = None
         spec = self._parts.configuration.service(entry.service)
-        if spec is None or not await losses.sound(entry):
-            return Ending.UNREACHED
+        if spec is None or not await loss_detector.check_healthy(entry):
+            return AttemptOutcome.UNREACHED
         if not self._may_send(placed):
-            return Ending.UNWANTED
+            return AttemptOutcome.UNWANTED
         opened = await self._parts.connections.open(entry.address)
         if opened.is_err():
             self._blame(entry, gone=True)
-            return Ending.UNREACHED
+            return AttemptOutcome.UNREACHED
         exchange = opened.ok_value
         if self._call.left:
             exchange.release()
-            return Ending.LEFT
+            return AttemptOutcome.LEFT
         if not self._parts.targets.is_current(entry):
             exchange.close()
-            return Ending.UNREACHED
-        self._parts.loads.began(entry.target, placed.key)
+            return AttemptOutcome.UNREACHED
+        self._parts.loads.on_request_started(entry.target, placed.key)
         slots = spec.engine.batch if spec.engine else entry.slots
         self._slots = slots
         self._running = self._parts.loads.running(entry.target)
-        self._report.sent += 1
-        follower = losses.follow(entry, spec, route.repeatable or route.resumable)
+        self._reporter.sent += 1
+        subscriber = loss_detector.subscribe(
+            entry, spec, route.repeatable or route.resumable
+        )
         try:
             if route.kind is RouteKind.STREAMING:
-                return await self._stream_from(route, placed, exchange, follower)
-            return await self._fetch_from(route, entry, exchange, follower)
+                return await self._stream_from(route, placed, exchange, subscriber)
+            return await self._fetch_from(route, entry, exchange, subscriber)
         finally:
-            losses.unfollow(follower)
-            self._parts.loads.ended(entry.target, placed.key)
+            loss_detector.unsubscribe(subscriber)
+            self._parts.loads.on_request_ended(entry.target, placed.key)
 
     def _may_send(self, placed: Placed) -> bool:
         """Whether the target wants the request yet.
@@ -114,16 +116,16 @@
         It may have asked for rest, or named a limit, after the request was placed.
         """
         target = placed.entry.target
-        if self._parts.rests.wait_s(target):
+        if self._parts.backoffs.wait_s(target):
             return False
-        return placed.counted or self._parts.limits.take(target)
+        return placed.counted or self._parts.limits.acquire(target)
 
     def _send(
         self,
         route: Route,
         entry: TargetEntry,
         exchange: Exchange,
-        follower: Follower,
+        subscriber: LossSubscriber,
         sink: AnswerSink,
     ) -> None:
         sent_at = self._parts.timers.now()
@@ -142,30 +144,34 @@
             headers,
             self._call.body,
             request_id=self._request.request_id,
-            sink=follower.listen(
+            sink=subscriber.listen(
                 sink, lambda head: self._note_head(entry, head, sent_at)
             ),
         )
 
     async def _fetch_from(
-        self, route: Route, entry: TargetEntry, exchange: Exchange, follower: Follower
-    ) -> Ending:
+        self,
+        route: Route,
+        entry: TargetEntry,
+        exchange: Exchange,
+        subscriber: LossSubscriber,
+    ) -> AttemptOutcome:
         answer = WholeAnswer()
         sent_at = self._parts.timers.now()
-        self._send(route, entry, exchange, follower, answer)
-        waiting = {exchange.ended, self._call.gone, follower.lost}
+        self._send(route, entry, exchange, subscriber, answer)
+        waiting = {exchange.ended, self._call.gone, subscriber.lost}
         await asyncio.wait(
             waiting, timeout=self.left_s, return_when=asyncio.FIRST_COMPLETED
         )
         if not exchange.ended.done():
             exchange.close()
             if self._call.left:
-                return Ending.LEFT
-            if follower.lost.done():
-                self.loss = follower.lost.result()
-                return Ending.LOST
+                return AttemptOutcome.LEFT
+            if subscriber.lost.done():
+                self.loss = subscriber.lost.result()
+                return AttemptOutcome.LOST
             self._blame(entry)
-            return Ending.LATE
+            return AttemptOutcome.LATE
         if answer.head is None or not exchange.whole:
             exchange.close()
             return self._note_lost(entry, exchange)
@@ -177,27 +183,31 @@
 
     def _take_whole(
         self, route: Route, entry: TargetEntry, answer: WholeAnswer
-    ) -> Ending:
+    ) -> AttemptOutcome:
         head = answer.head
         if not head.signs.sealed or head.status in (408, 421, 429, 503):
             # These statuses promise that nothing ran, which this target did not say.
-            return Ending.FAILED
-        again = route.repeatable and self._report.ran + 1 < route.attempts
-        if head.status >= 500 and again and self.left_s > LEAST_LEFT_S:
+            return AttemptOutcome.FAILED
+        again = route.repeatable and self._reporter.ran + 1 < route.attempts
+        if head.status >= 500 and again and self.left_s > MIN_REMAINING_S:
             self.failed_answer = answer
-            return Ending.FAILED
-        self._report.answer(answer)
-        self._report.served(entry, head.status, None)
-        return Ending.DONE
+            return AttemptOutcome.FAILED
+        self._reporter.answer(answer)
+        self._reporter.served(entry, head.status, None)
+        return AttemptOutcome.DONE
 
     async def _stream_from(
-        self, route: Route, placed: Placed, exchange: Exchange, follower: Follower
-    ) -> Ending:
+        self,
+        route: Route,
+        placed: Placed,
+        exchange: Exchange,
+        subscriber: LossSubscriber,
+    ) -> AttemptOutcome:
         entry = placed.entry
         relay = StreamRelay(self._stream, self._parts.timers.now)
         sent_at = self._parts.timers.now()
-        self._send(route, entry, exchange, follower, relay)
-        waiting = {exchange.ended, self._call.gone, follower.lost}
+        self._send(route, entry, exchange, subscriber, relay)
+        waiting = {exchange.ended, self._call.gone, subscriber.lost}
         silent = False
         while not any(each.done() for each in waiting):
             left_s = self.left_s
@@ -213,27 +223,27 @@
             )
         if relay.first_at is not None:
             wait_ms = (relay.first_at - sent_at) * 1000
-            self._parts.healths.answered(entry.target, wait_ms)
-        return self._end_stream(placed, exchange, relay, follower, sent_at)
+            self._parts.healths.record_answer(entry.target, wait_ms)
+        return self._end_stream(placed, exchange, relay, subscriber, sent_at)
 
     def _end_stream(
         self,
         placed: Placed,
         exchange: Exchange,
         relay: StreamRelay,
-        follower: Follower,
+        subscriber: LossSubscriber,
         sent_at: float,
-    ) -> Ending:
+    ) -> AttemptOutcome:
         entry = placed.entry
         if not exchange.ended.done():
             # Closed before anything follows: a target that yet lives drops the run.
             exchange.close()
             if self._call.left:
-                return Ending.LEFT
-            if follower.lost.done():
-                self.loss = follower.lost.result()
-                return Ending.BROKEN if relay.accepted else Ending.LOST
-            return Ending.LATE
+                return AttemptOutcome.LEFT
+            if subscriber.lost.done():
+                self.loss = subscriber.lost.result()
+                return AttemptOutcome.BROKEN if relay.accepted else AttemptOutcome.LOST
+            return AttemptOutcome.LATE
         if relay.head is None:
             exchange.close()
             return self._note_lost(entry, exchange)
@@ -244,19 +254,19 @@
         if not exchange.whole or (relay.rest and not relay.head.framed):
             exchange.close()
             self._note_lost(entry, exchange)
-            return Ending.BROKEN
+            return AttemptOutcome.BROKEN
         exchange.release()
         relay.flush()
         if not self._stream.begun:
             self._stream.send(relay.head, b"")
         self._call.finish()
         self._note_run(entry, sent_at)
-        self._report.served(entry, relay.head.status, relay)
-        return Ending.DONE
+        self._reporter.served(entry, relay.head.status, relay)
+        return AttemptOutcome.DONE
 
     def _end_refused_stream(
         self, placed: Placed, exchange: Exchange, relay: StreamRelay
-    ) -> Ending:
+    ) -> AttemptOutcome:
         entry, head = placed.entry, relay.head
         if not exchange.whole:
             exchange.close()
@@ -266,15 +276,15 @@
             return self._note_refused(entry, head.status, placed)
         self._blame(entry)
         if self._stream.begun or not head.signs.sealed:
-            return Ending.FAILED
+            return AttemptOutcome.FAILED
         answer = WholeAnswer()
-        answer.take_head(head)
-        answer.take_data(relay.rest)
+        answer.handle_head(head)
+        answer.handle_data(relay.rest)
         if head.status in (408, 421, 429, 503):
-            return Ending.FAILED
-        self._report.answer(answer)
-        self._report.served(entry, head.status, None)
-        return Ending.DONE
+            return AttemptOutcome.FAILED
+        self._reporter.answer(answer)
+        self._reporter.served(entry, head.status, None)
+        return AttemptOutcome.DONE
 
     # What is learned of the target
 
@@ -283,14 +293,16 @@
 
         One that doesn't answer under the id it was asked for is another target.
         """
-        if head.status == ANOTHER_ID or not self._parts.targets.is_current(entry):
+        if head.status == MISDIRECTED_STATUS or not self._parts.targets.is_current(
+            entry
+        ):
             return
-        if head.signs.rest_s:
-            self._parts.rests.note(entry.target, head.signs.rest_s)
+        if head.signs.backoff_s:
+            self._parts.backoffs.record(entry.target, head.signs.backoff_s)
         if head.signs.leaving:
-            self._parts.leaving_words.note(entry.incarnation)
+            self._parts.leaving_notices.note(entry.incarnation)
         limit_per_s = head.signs.limit_per_s
-        self._parts.limits.note_answer(entry.incarnation, limit_per_s, sent_at)
+        self._parts.limits.record_answer(entry.incarnation, limit_per_s, sent_at)
 
     def _blame(self, entry: TargetEntry, gone: bool = False) -> None:
         """Count a failure against a target, if it is that of the start known now.
@@ -299,40 +311,40 @@
         against the next one, it would be left aside though it is well.
         """
         if self._parts.targets.is_current(entry):
-            self._parts.healths.failed(entry.target, gone)
+            self._parts.healths.record_failure(entry.target, gone)
 
-    def _note_lost(self, entry: TargetEntry, exchange: Exchange) -> Ending:
+    def _note_lost(self, entry: TargetEntry, exchange: Exchange) -> AttemptOutcome:
         self._blame(entry)
-        self._parts.deaths.broke(entry, self._fingerprint)
-        return Ending.LOST
+        self._parts.crash_watch.on_connection_broken(entry, self._fingerprint)
+        return AttemptOutcome.LOST
 
     def _note_refused(
         self, entry: TargetEntry, status: int, placed: Placed | None
-    ) -> Ending:
-        if self._parts.rests.wait_s(entry.target):
+    ) -> AttemptOutcome:
+        if self._parts.backoffs.wait_s(entry.target):
             # It sheds load, which says nothing of its health or of the adapter.
-            return Ending.REFUSED
+            return AttemptOutcome.REFUSED
         key = placed.key if placed is not None else None
         if key is None or not key.adapter:
             self._blame(entry)
-            return Ending.REFUSED
+            return AttemptOutcome.REFUSED
         if not self._parts.targets.is_current(entry):
-            return Ending.REFUSED
-        self._parts.placer.note_missing(entry.target, key)
-        if status == ANOTHER_ID and placed.candidate.holding is Holding.READY:
+            return AttemptOutcome.REFUSED
+        self._parts.placer.notify_missing(entry.target, key)
+        if status == MISDIRECTED_STATUS and placed.candidate.holding is Holding.READY:
             # One that was loaded for this request is said to be there by foresight and
             # may be late. Given up, it would be fetched again at the next engine, and
             # the more is fetched the later each fetch is.
-            self._parts.targets.note_absent(entry.target, key)
-            return Ending.REFUSED
-        return Ending.TOO_EARLY
+            self._parts.targets.mark_absent(entry.target, key)
+            return AttemptOutcome.REFUSED
+        return AttemptOutcome.TOO_EARLY
 
     def _note_wait(self, entry: TargetEntry, sent_at: float, status: int) -> None:
         if status >= 500:
             self._blame(entry)
             return
         wait_ms = (self._parts.timers.now() - sent_at) * 1000
-        self._parts.healths.answered(entry.target, wait_ms)
+        self._parts.healths.record_answer(entry.target, wait_ms)
         self._note_run(entry, sent_at)
 
     def _note_run(self, entry: TargetEntry, sent_at: float) -> None:
@@ -340,4 +352,4 @@
         spec = self._parts.configuration.service(entry.service)
         if spec is not None:
             took_s = self._parts.timers.now() - sent_at
-            self._parts.run_times.note(spec, took_s, self._running, self._slots)
+            self._parts.run_times.record(spec, took_s, self._running, self._slots)
--- a/hawthornlead/gateway/target_connections.py
+++ b/hawthornlead/gateway/target_connections.py
@@ -18,7 +18,7 @@
 
 from ..connection_pools import ConnectionPool
 from ..errors import Failure
-from ..platform.headers import AnswerSigns, read_answer_signs
+from ..platform.headers import AnswerMetadata, read_answer_metadata
 from ..timers import TimerService
 
 # A target answers a new connection in a few milliseconds; a packet that is lost is
@@ -43,17 +43,17 @@
     status: int
     reason: str
     headers: httputil.HTTPHeaders
-    signs: AnswerSigns
+    signs: AnswerMetadata
     framed: bool
 
 
 class AnswerSink(Protocol):
     """Takes an answer as it comes."""
 
-    def take_head(self, head: Head) -> None:
+    def handle_head(self, head: Head) -> None:
         """Take the beginning."""
 
-    def take_data(self, chunk: bytes) -> None:
+    def handle_data(self, chunk: bytes) -> None:
         """Take the next piece of the body."""
 
 
@@ -69,11 +69,11 @@
         """What came of the body so far."""
         return b"".join(self._parts)
 
-    def take_head(self, head: Head) -> None:
+    def handle_head(self, head: Head) -> None:
         """Keep the beginning."""
         self.head = head
 
-    def take_data(self, chunk: bytes) -> None:
+    def handle_data(self, chunk: bytes) -> None:
         """Keep the next piece."""
         self._parts.append(chunk)
 
@@ -91,7 +91,7 @@
     def headers_received(self, start_line, headers):
         if 100 <= start_line.code < 200:
             return
-        signs = read_answer_signs(start_line.code, headers)
+        signs = read_answer_metadata(start_line.code, headers)
         if signs.request_id != self._request_id and (
             signs.request_id or start_line.code < 300
         ):
@@ -103,11 +103,11 @@
         framed = "Content-Length" in headers or "Transfer-Encoding" in headers
         code = start_line.code
         self.head = Head(code, start_line.reason, headers, signs, framed)
-        self._sink.take_head(self.head)
+        self._sink.handle_head(self.head)
 
     def data_received(self, chunk):
         if not self.stray:
-            self._sink.take_data(chunk)
+            self._sink.handle_data(chunk)
 
     def finish(self):
         self.finished = not self.stray
--- a/hawthornlead/ownership/leases.py
+++ b/hawthornlead/ownership/leases.py
@@ -1,10 +1,10 @@
-"""The VM's lease: registered, renewed, noticed when lost; others' ended.
+"""Registers this VM, renews its lease, and ends the leases of VMs that are gone.
 
 A lease is valid for ``LEASE_S`` from the moment its renewal was sent, by the
 monotonic clock of its holder. Another VM may end it at once on proof that the
-process has stopped, and otherwise only after it saw the counter unchanged for so
-long, by its own clock, that the holder's clock has passed the lease too, however
-the rates of the two clocks differ. An ended incarnation never renews again.
+process has stopped. Without proof it must first see the counter unchanged for so
+long, by its own clock, that the lease has also expired by the holder's clock at the
+largest allowed difference in rate. An ended incarnation never renews again.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
     with_registered,
 )
 from .lease_terminators import LeaseTerminator, clock_safe_wait_s
-from .registrations import RegistrationTable, Seen
+from .registrations import RegistrationTable, SeenRegistration
 from .renewal_batchers import RenewalBatcher, outcome_of
 from .renewal_objects import CounterTable, counters_of, renewal_kind, with_entered
 
@@ -38,7 +38,7 @@
 
 
 class LeaseKeeper:
-    """Keeps this VM's lease, and ends those of VMs that are gone."""
+    """Holds this VM's lease, and ends those of VMs that are gone."""
 
     def __init__(
         self,
@@ -69,33 +69,33 @@
         self._renew_s = settings["LEASE_RENEW_S"]
         self._incarnation = incarnation or f"{self._vm}.{rng.getrandbits(64):016x}"
         self._counter = 0
-        self._until = float("-inf")
+        self._valid_until = float("-inf")
         self._held_since = float("-inf")
         self._shard = ""
-        self._tried_number = 0
+        self._shard_number = 0
         self._entered_version = 0
         self._registered_version = 0
         self._ended = False
         self._released = False
-        self._lapse_told = False
+        self._lapse_reported = False
         self._kind = renewal_kind(self._data_centre)
-        self._table = RegistrationTable(timers)
+        self._registrations = RegistrationTable(timers)
         self._counters = CounterTable(timers)
-        self._folder = RenewalBatcher(
+        self._batcher = RenewalBatcher(
             store=store,
             timers=timers,
             kind=self._kind,
             counters=self._counters,
-            gather_s=self._renew_s / 2,
+            batch_s=self._renew_s / 2,
         )
-        self._ender = LeaseTerminator(
+        self._terminator = LeaseTerminator(
             settings=settings,
             timers=timers,
             events=events,
             store=store,
             members=members,
             holder=self,
-            registrations=self._table,
+            registrations=self._registrations,
             counters=self._counters,
         )
         self._on_ended: list[Callable[[], None]] = []
@@ -104,7 +104,7 @@
 
     @property
     def incarnation(self) -> str:
-        """The incarnation under which this VM is, or is to be, registered."""
+        """The incarnation under which this VM is or will be registered."""
         return self._incarnation
 
     @property
@@ -118,31 +118,31 @@
 
     @property
     def held_since(self) -> float:
-        """Since when the lease has been held without a gap (``timers.now()``)."""
+        """When the current unbroken hold of the lease began (``timers.now()``)."""
         return self._held_since
 
     @property
     def synced(self) -> bool:
         """Whether the registrations of all VMs have been read once."""
-        return self._table.synced
+        return self._registrations.synced
 
     def held(self, for_s: float = 0.0) -> bool:
         """Whether the lease is valid now and for ``for_s`` seconds more.
 
-        Reads the clock: a process that was frozen learns here that its lease ran
-        out, before any message can tell it.
+        Reads the clock, so a process that was frozen learns here that its lease
+        expired, before it has handled any message.
         """
         if self._ended or not self._shard:
             return False
-        return self._timers.now() + for_s < self._until
+        return self._timers.now() + for_s < self._valid_until
 
     def registered(self) -> tuple[Registration, ...]:
-        """All registrations known, live and ended ones."""
-        return self._table.all()
+        """All known registrations, live and ended."""
+        return self._registrations.all()
 
     def registration_of(self, incarnation: str) -> Registration | None:
-        """What is known of one incarnation; None when it is not registered."""
-        seen = self._table.seen(incarnation)
+        """Return the registration of an incarnation, None if none is known."""
+        seen = self._registrations.seen(incarnation)
         return seen.registration if seen is not None else None
 
     async def live_in_store(self) -> Result[set[str], Failure]:
@@ -152,37 +152,39 @@
     def on_ended(self, callback: Callable[[], None]) -> None:
         """Call ``callback`` when this VM learns that its incarnation was ended.
 
-        Afterwards the VM is registered again, under a new incarnation.
+        The VM then registers again under a new incarnation.
         """
         self._on_ended.append(callback)
 
     def start(self) -> None:
-        """Begin to register, renew, and watch the others."""
-        self._mesh.on(RenewLease, self._folder.handle)
+        """Start to register, renew, and watch the other VMs' leases."""
+        self._mesh.on(RenewLease, self._batcher.handle)
         self._watches = [
-            self._store.watch(KIND, self._take_event, self._table.mark_synced),
-            self._store.watch(self._kind, self._take_counters),
+            self._store.watch(
+                KIND, self._on_registrations, self._registrations.mark_synced
+            ),
+            self._store.watch(self._kind, self._on_counters),
         ]
-        self._task = asyncio.get_running_loop().create_task(self._keep())
-        self._ender.start()
+        self._task = asyncio.get_running_loop().create_task(self._run())
+        self._terminator.start()
 
     async def stop(self) -> None:
-        """Renew no more; without ``release`` the lease runs out by itself."""
+        """Stop renewing; unless it was released, the lease expires by itself."""
         for watch in self._watches:
             watch.cancel()
         if self._task is not None:
             self._task.cancel()
-        await self._ender.stop()
-        self._folder.stop()
+        await self._terminator.stop()
+        self._batcher.stop()
 
     async def register(self) -> Result[None, Failure]:
-        """Register this VM start, under a new incarnation if the old was ended.
+        """Register this start of the VM, under a new incarnation if the old was ended.
 
-        The lease is entered first, so that a registered VM without a lease is
-        known to be ended.
+        The lease is entered before the registration, so a registered VM without a
+        lease is known to be ended.
         """
         if self._ended:
-            self._begin_anew()
+            self._start_new_incarnation()
         self._counter += 1
         sent_at = self._timers.now()
         incarnation = self._incarnation
@@ -196,9 +198,9 @@
         self._shard = shard
         self._entered_version = entered.ok_value.version
         self._registered_version = written.ok_value.version
-        self._counters.take(entered.ok_value)
-        self._table.take(written.ok_value)
-        self._check_own()
+        self._counters.apply(entered.ok_value)
+        self._registrations.apply(written.ok_value)
+        self._check_own_lease()
         if self._ended:
             return Err(Failure(ErrorKind.STALE_FENCE, "the incarnation was ended"))
         self._extend(incarnation, sent_at)
@@ -206,40 +208,42 @@
         return Ok(None)
 
     async def release(self) -> Result[None, Failure]:
-        """End the own lease for good, at shutdown, when nothing is owned any more."""
+        """End the own lease for good at shutdown, after all ownership was released."""
         self._released = True
-        seen = Seen(self._own_registration(), self._shard, self._timers.now())
-        self._note_ended("released")
+        seen = SeenRegistration(
+            self._own_registration(), self._shard, self._timers.now()
+        )
+        self._mark_ended("released")
         if not seen.shard:
             return Ok(None)
-        return await self._ender.write_end(seen, RELEASED, None)
+        return await self._terminator.write_end(seen, RELEASED, None)
 
     async def end(
         self, vm: str, incarnation: str, proof: str | None
     ) -> Result[None, Failure]:
-        """End another VM's incarnation, so that what it owned can be taken.
+        """End another VM's incarnation, so that what it owned can be taken over.
 
-        With a ``proof`` of ``members.proof_gone`` at once. Without, only after
-        the counter was seen unchanged until the lease must have run out on its
-        holder's clock, and only if the counter still stands so when the end is
-        written: a renewal written first makes the end fail, an end written first
-        makes every later renewal fail.
+        With a ``proof`` from ``members.proof_gone`` it is ended at once. Without
+        one, the counter must have been unchanged until the lease has expired on its
+        holder's clock, and must still be unchanged when the end is written. A
+        renewal that is written first makes the end fail; an end that is written
+        first makes every later renewal fail.
         """
-        return await self._ender.end(vm, incarnation, proof)
+        return await self._terminator.end(vm, incarnation, proof)
 
-    def _begin_anew(self) -> None:
+    def _start_new_incarnation(self) -> None:
         former, shard = self._incarnation, self._shard
         self._incarnation = next_incarnation(former)
         self._counter = 0
         self._shard = ""
-        self._tried_number = 0
-        self._until = float("-inf")
+        self._shard_number = 0
+        self._valid_until = float("-inf")
         self._ended = False
         if not shard:
             return
         # An order that was checked before a freeze and sent after it may still be
-        # running; when it can't be any more, the former incarnation is proved
-        # stopped by this process's own word.
+        # running. Once it can't be any more, this process itself declares its former
+        # incarnation stopped.
         wait = clock_safe_wait_s(
             self._settings["ORDER_S"], self._settings["CLOCK_RATE_ERROR"]
         )
@@ -252,22 +256,22 @@
         self._timers.after(wait, prove_stopped, name="former incarnation")
 
     async def _enter(self, incarnation: str) -> Result[StoredObject, Failure]:
-        """Enter a lease into the first object that has room for it.
+        """Enter a lease into the first object that has a free place.
 
-        A try whose reply was lost may stand in the object that was tried last.
-        The next try begins with that one, so that a lease never stands in two
-        objects, one of which would run out while the other is renewed.
+        An attempt whose reply was lost may have written to the object that was tried
+        last. The next attempt starts with that object. Otherwise the lease could be
+        in two objects, and expire in one while it is renewed in the other.
         """
         counter = self._counter
         while True:
             entered = await self._store.update(
                 self._kind,
-                f"{self._data_centre}-{self._tried_number}",
+                f"{self._data_centre}-{self._shard_number}",
                 lambda value: with_entered(value, incarnation, counter),
             )
             if entered.is_err() or incarnation in counters_of(entered.ok_value):
                 return entered
-            self._tried_number += 1
+            self._shard_number += 1
 
     async def _write_registration(self, shard: str) -> Result[StoredObject, Failure]:
         new = self._own_registration()
@@ -287,16 +291,16 @@
         )
 
     def _extend(self, incarnation: str, sent_at: float) -> None:
-        # The answer to a renewal of an incarnation that was ended meanwhile, or
-        # replaced, extends nothing.
+        # The answer to a renewal must not extend the lease if its incarnation was
+        # ended or replaced meanwhile.
         if self._ended or incarnation != self._incarnation:
             return
         if not self.held():
             self._held_since = self._timers.now()
-        self._until = max(self._until, sent_at + self._lease_s)
-        self._lapse_told = False
+        self._valid_until = max(self._valid_until, sent_at + self._lease_s)
+        self._lapse_reported = False
 
-    def _note_ended(self, reason: str) -> None:
+    def _mark_ended(self, reason: str) -> None:
         if self._ended:
             return
         self._ended = True
@@ -309,16 +313,16 @@
         for callback in self._on_ended:
             callback()
 
-    def _take_event(self, event) -> None:
-        self._table.take_event(event)
-        self._check_own()
+    def _on_registrations(self, event) -> None:
+        self._registrations.apply_event(event)
+        self._check_own_lease()
 
-    def _take_counters(self, event) -> None:
-        self._counters.take(event.object)
-        self._check_own()
+    def _on_counters(self, event) -> None:
+        self._counters.apply(event.object)
+        self._check_own_lease()
 
-    def _check_own(self) -> None:
-        """Notice that the store no longer holds this VM's lease."""
+    def _check_own_lease(self) -> None:
+        """Mark the lease as ended if the store no longer has it."""
         if not self._shard:
             return
         incarnation = self._incarnation
@@ -326,31 +330,31 @@
         if counters.version(self._shard) >= self._entered_version and (
             counters.seen(incarnation) is None
         ):
-            self._note_ended("the lease was ended")
-        if self._table.version(self._shard) < self._registered_version:
+            self._mark_ended("the lease was ended")
+        if self._registrations.version(self._shard) < self._registered_version:
             return
         registration = self.registration_of(incarnation)
         if registration is None or registration.state == ENDED:
-            self._note_ended("the registration was ended")
+            self._mark_ended("the registration was ended")
 
-    async def _keep(self) -> None:
+    async def _run(self) -> None:
         while not self._released:
-            begun_at = self._timers.now()
+            started_at = self._timers.now()
             try:
-                await self._keep_once()
+                await self._renew_once()
             except Exception:
-                # A bug met in one renewal must not end all later ones.
-                logger.exception("keeping the lease failed")
-            if not self._ended and not self.held() and not self._lapse_told:
-                self._lapse_told = True
+                # A bug in one renewal must not prevent all later ones.
+                logger.exception("renewing the lease failed; it is retried")
+            if not self._ended and not self.held() and not self._lapse_reported:
+                self._lapse_reported = True
                 self._events.emit(
                     EventKind.LEASE_LAPSED, self._vm, incarnation=self._incarnation
                 )
-            spent = self._timers.now() - begun_at
-            pause = self._renew_s * self._rng.uniform(0.9, 1.0) - spent
-            await self._timers.sleep(max(pause, self._renew_s / 10))
+            spent_s = self._timers.now() - started_at
+            pause_s = self._renew_s * self._rng.uniform(0.9, 1.0) - spent_s
+            await self._timers.sleep(max(pause_s, self._renew_s / 10))
 
-    async def _keep_once(self) -> None:
+    async def _renew_once(self) -> None:
         if self._ended or not self._shard:
             await self.register()
             return
@@ -364,7 +368,7 @@
         if incarnation != self._incarnation:
             return
         if renewed.err_value.kind is ErrorKind.STALE_FENCE:
-            self._note_ended("a renewal was refused")
+            self._mark_ended("a renewal was refused")
 
     async def _renew(self, incarnation: str, counter: int) -> Result:
         aggregator = self._aggregator()
@@ -372,13 +376,13 @@
         reply = await self._mesh.call(aggregator, message, timeout_s=self._renew_s)
         if reply.is_ok() and isinstance(reply.ok_value, LeaseRenewed):
             return Ok(None)
-        # In an outage of the store the aggregator says so, and the others leave
-        # the store alone until their leases run short; an aggregator that alone
-        # is cut from the store costs them nothing but that delay.
+        # When the aggregator reports a store outage, the other VMs don't call the store
+        # until half of their lease time is left. If only the aggregator is cut off
+        # from the store, this merely delays their own writes.
         outage = reply.is_err() and reply.err_value.kind is ErrorKind.STORE_UNAVAILABLE
         if outage and self.held(self._lease_s / 2):
             return reply
-        written = await self._folder.write(self._shard, {incarnation: counter})
+        written = await self._batcher.write(self._shard, {incarnation: counter})
         return outcome_of(written, incarnation, counter)
 
     def _aggregator(self) -> str:
--- a/hawthornlead/tests/test_gateway_decisions.py
+++ b/hawthornlead/tests/test_gateway_decisions.py
@@ -14,12 +14,12 @@
     EngineSlots,
     SlotState,
 )
-from hawthornlead.gateway.prompt_paces import (
+from hawthornlead.gateway.prompt_pacers import (
     BURST_MS,
     DUTY,
     EVENT_MS,
     TOKENS_PER_MS,
-    PromptPace,
+    PromptPacer,
     read_ms,
 )
 from hawthornlead.gateway.records import (
@@ -30,7 +30,7 @@
     ModelSpec,
 )
 from hawthornlead.gateway.target_healths import TargetHealths
-from hawthornlead.gateway.target_loads import TOLD_KEPT_S, TargetLoads
+from hawthornlead.gateway.target_loads import UPDATE_TTL_S, TargetLoads
 from hawthornlead.messages.gateways import AdapterUse, TargetLoad, VmLoads
 from hawthornlead.timers import ManualTimerService
 
@@ -65,7 +65,7 @@
     Several callers' long prompts came together and the engine read them one after
     the other between two tokens of everybody else.
     """
-    pace = PromptPace()
+    pace = PromptPacer()
     waits = [pace.reserve(4000, GAP_MS, now=5.0) for _ in range(4)]
     read_s = 4000 / TOKENS_PER_MS / 1000
     assert waits[0] == 0
@@ -74,7 +74,7 @@
 
 
 def test_a_short_prompt_at_an_idle_moment_does_not_wait():
-    pace = PromptPace()
+    pace = PromptPacer()
     short = int(BURST_MS * TOKENS_PER_MS / 2)
     assert pace.reserve(short, GAP_MS, now=5.0) == 0
     assert pace.reserve(short, GAP_MS, now=5.0) == 0
@@ -88,7 +88,7 @@
 
     A prompt that takes nearly as long as the pause began while another was being read.
     """
-    pace = PromptPace()
+    pace = PromptPacer()
     long = int((gap_ms * (1 - DUTY) - EVENT_MS + 1) * TOKENS_PER_MS)
     pace.reserve(600, gap_ms, now=5.0)
     assert pace.expected_wait(5.0, 600, gap_ms) < pace.expected_wait(5.0, long, gap_ms)
@@ -98,7 +98,7 @@
 
 @given(st.lists(st.tuples(st.floats(0, 0.2), st.integers(1, 7000)), max_size=60))
 def test_paced_prompts_never_take_more_than_their_share(arrivals):
-    pace, now, starts = PromptPace(), 0.0, []
+    pace, now, starts = PromptPacer(), 0.0, []
     for gap_s, tokens in arrivals:
         now += gap_s
         starts.append((now + pace.reserve(tokens, GAP_MS, now), tokens))
@@ -137,7 +137,7 @@
         times.observe(0.37)
     before = times.expected_s
     for _ in range(4):
-        times.too_early()
+        times.record_too_early()
     assert times.expected_s > before
 
 
@@ -149,7 +149,7 @@
     assert slots.victim(now=10.0) == key("a3")
     slots.remove(key("a3"))
     assert slots.victim(now=10.0 + JUST_USED_S / 2) is None
-    assert slots.victim(now=10.0 + 2 * JUST_USED_S, told_every_s=1.0) is None
+    assert slots.victim(now=10.0 + 2 * JUST_USED_S, announce_interval_s=1.0) is None
     assert slots.victim(now=10.0 + 2 * JUST_USED_S) == key("a2")
 
 
@@ -167,9 +167,9 @@
         slots.note_turn(key("a1"), vm, at=10.0)
     slots.end_turn(key("a1"), "vm-1")
     slots.end_turn(key("a1"), "vm-2")
-    assert slots.victim(now=10.1, told_every_s=0.24) is None
+    assert slots.victim(now=10.1, announce_interval_s=0.24) is None
     slots.end_turn(key("a1"), "vm-1")
-    assert slots.victim(now=10.1, told_every_s=0.24) == key("a1")
+    assert slots.victim(now=10.1, announce_interval_s=0.24) == key("a1")
 
 
 def test_a_turn_whose_end_is_never_told_is_dropped():
@@ -192,7 +192,7 @@
     slots.take_report(report(ready=("a1",)), now=0.0)
     slots.note_turn(key("a1"), "vm-1", at=10.0)
     slots.end_turn(key("a1"), "vm-2")
-    assert slots.victim(now=10.1, told_every_s=0.24) is None
+    assert slots.victim(now=10.1, announce_interval_s=0.24) is None
 
 
 def test_an_adapter_that_has_just_come_waits_for_who_asked_for_it():
@@ -232,41 +232,41 @@
 def test_loads_of_silent_vms_are_forgotten(timers):
     loads = TargetLoads(timers=timers)
     told = VmLoads((TargetLoad("e1", 4, (AdapterUse("tide", "a1", 4, 4),)),))
-    loads.take("vm-2", told)
-    loads.began("e1", key("a1"))
+    loads.apply_loads("vm-2", told)
+    loads.on_request_started("e1", key("a1"))
     assert loads.running("e1") == 5
     assert loads.adapters_running("e1") == {key("a1"): 5}
-    timers._now += TOLD_KEPT_S + 1
+    timers._now += UPDATE_TTL_S + 1
     assert loads.running("e1") == 1
-    loads.ended("e1", key("a1"))
+    loads.on_request_ended("e1", key("a1"))
     assert loads.own_total == 0
 
 
 def test_each_start_is_told_once_even_if_it_has_ended(timers):
     loads = TargetLoads(timers=timers)
-    loads.began("e1", key("a1"))
-    loads.ended("e1", key("a1"))
-    (load,) = loads.word().loads
+    loads.on_request_started("e1", key("a1"))
+    loads.on_request_ended("e1", key("a1"))
+    (load,) = loads.build_update().loads
     assert load.uses == (AdapterUse("tide", "a1", 0, 1),)
-    assert loads.word().loads == ()
+    assert loads.build_update().loads == ()
 
 
 def test_a_target_that_cannot_be_reached_is_suspect_for_a_while(timers):
     healths = TargetHealths(timers=timers)
-    healths.failed("e1", gone=True)
-    assert healths.suspect("e1")
+    healths.record_failure("e1", gone=True)
+    assert healths.is_suspect("e1")
     timers._now += 1.0
-    assert not healths.suspect("e1")
-    healths.failed("e1", gone=True)
-    healths.answered("e1", wait_ms=50)
-    assert not healths.suspect("e1")
+    assert not healths.is_suspect("e1")
+    healths.record_failure("e1", gone=True)
+    healths.record_answer("e1", wait_ms=50)
+    assert not healths.is_suspect("e1")
 
 
 def test_failures_cost_and_are_forgotten(timers):
     healths = TargetHealths(timers=timers)
     for _ in range(5):
-        healths.failed("e1")
-        healths.answered("e1", wait_ms=50)
+        healths.record_failure("e1")
+        healths.record_answer("e1", wait_ms=50)
     cost = healths.cost_ms("e1")
     assert cost > 500
     timers._now += 30
@@ -283,7 +283,7 @@
         open_requests=lambda: open_requests[0],
     )
     assert drain.refusal() is None
-    drain.begin()
+    drain.start()
     assert drain.refusal() is None
     await timers.advance(5.0)
     assert drain.refusal().retry_after_s == 0
@@ -298,7 +298,7 @@
     drain = Drain(
         timers=timers, grace_s=8.0, keep_answer_s=1.0, open_requests=lambda: 1
     )
-    drain.begin()
+    drain.start()
     await timers.advance(2.0)
     assert drain.refusal(20.0) is None
     await timers.advance(2.0)
@@ -315,13 +315,13 @@
     """
     healths = TargetHealths(timers=timers)
     for target in ("e1", "e2"):
-        healths.failed(target, gone=True)
-    healths.keep({"e2"})
-    assert not healths.suspect("e1")
-    assert healths.suspect("e2")
+        healths.record_failure(target, gone=True)
+    healths.retain({"e2"})
+    assert not healths.is_suspect("e1")
+    assert healths.is_suspect("e2")
     loads = TargetLoads(timers=timers)
-    loads.began("e1", key("a1"))
-    loads.ended("e1", key("a1"))
+    loads.on_request_started("e1", key("a1"))
+    loads.on_request_ended("e1", key("a1"))
     assert loads.adapters_running("e1") == {}
     assert not loads._own_uses
 
--- a/hawthornlead/tests/test_placers.py
+++ b/hawthornlead/tests/test_placers.py
@@ -6,7 +6,7 @@
 
 from hawthornlead.errors import ErrorKind, Failure
 from hawthornlead.gateway.gateway_metrics import GatewayMetrics
-from hawthornlead.gateway.placers import Placer, Wanted
+from hawthornlead.gateway.placers import PlacementRequest, Placer
 from hawthornlead.gateway.records import (
     CallerRequest,
     Configuration,
@@ -20,7 +20,7 @@
 )
 from hawthornlead.gateway.run_times import RunTimes
 from hawthornlead.gateway.target_choices import Holding
-from hawthornlead.gateway.target_tries import LEAST_FULL_RETRY_S, MAX_FULL_TRIES
+from hawthornlead.gateway.target_searches import MAX_FULL_TRIES, MIN_FULL_RETRY_S
 from hawthornlead.messages.gateways import AdapterLoaded, LoadAdapter, PromptReserved
 from hawthornlead.timers import ManualTimerService
 
@@ -59,7 +59,7 @@
     def holding(self, entry, service, key):
         return Holding.ABSENT
 
-    def orderable(self, target):
+    def is_orderable(self, target):
         return True
 
     def owner(self, target):
@@ -71,7 +71,7 @@
     def turn_at(self, target):
         return 0.0
 
-    def note_turn(self, target, wait_s):
+    def record_turn(self, target, wait_s):
         """Take what an owner said of prompts."""
 
     def arriving(self, target):
@@ -87,7 +87,7 @@
     def running(self, target):
         return 0
 
-    def suspect(self, target):
+    def is_suspect(self, target):
         return False
 
     def cost_ms(self, target):
@@ -97,13 +97,13 @@
 class Unlimited:
     """Targets that name no limit, and ask for no rest."""
 
-    def limited(self, target):
+    def is_limited(self, target):
         return False
 
     def wait_s(self, target):
         return 0.0
 
-    def take(self, target):
+    def acquire(self, target):
         return True
 
 
@@ -133,17 +133,17 @@
         self.waits = waits
         self.taken = []
 
-    def limited(self, target):
+    def is_limited(self, target):
         return target in self.waits
 
     def wait_s(self, target):
         return self.waits.get(target, 0.0)
 
-    def take(self, target):
+    def acquire(self, target):
         self.taken.append(target)
         return not self.wait_s(target)
 
-    def give_back(self, target):
+    def refund(self, target):
         self.taken.remove(target)
 
 
@@ -159,17 +159,17 @@
             loads=Quiet(),
             healths=Quiet(),
             limits=limits or Unlimited(),
-            rests=Unlimited(),
+            backoffs=Unlimited(),
             mesh=self.mesh,
             timers=self.timers,
             metrics=GatewayMetrics(CollectorRegistry()),
             run_times=RunTimes(),
         )
-        self.placer.take(Configuration(1, (ROUTE,), (SERVICE,), None))
+        self.placer.apply_configuration(Configuration(1, (ROUTE,), (SERVICE,), None))
 
     async def place(self):
         now = self.timers.now()
-        wanted = Wanted(ROUTE, "llm", REQUEST, now, now + 4.0, frozenset())
+        wanted = PlacementRequest(ROUTE, "llm", REQUEST, now, now + 4.0, frozenset())
         return await self.placer.place(wanted)
 
 
@@ -201,7 +201,7 @@
 async def test_a_caller_is_not_called_back_to_the_same_full_engines():
     site = Site([0.6, 0.6])
     refused = (await site.place()).unwrap_err()
-    assert refused.retry_after_s >= LEAST_FULL_RETRY_S
+    assert refused.retry_after_s >= MIN_FULL_RETRY_S
 
 
 @pytest.mark.parametrize("count", [MAX_FULL_TRIES, 70])
