--- a/hawthornlead/ownership/members.py
+++ b/hawthornlead/ownership/members.py
@@ -1,8 +1,8 @@
-"""Which VMs are live, draining or proved gone, and which addresses callers get.
+"""Tracks which VMs are live, draining or proved gone; chooses callers' addresses.
 
-What is said here of other VMs is this VM's own view and decides nothing that must be
-agreed on; that goes through the object API. Only ``proof_gone`` is more than a view:
-a successor acts on it, so silence never counts as proof.
+This is this VM's own view of the others. It decides nothing that VMs must agree on;
+that goes through the store. Only ``proof_gone`` is more than a view: a successor acts
+on it, so silence never counts as proof.
 """
 
 import asyncio
@@ -14,19 +14,21 @@
 from ..messages import Goodbye, Hello
 from .lease_objects import process_of
 
-# How often a fresh connection must be refused, one after the other.
+# This many fresh connections in a row must be refused to prove that a process is gone.
 MIN_REFUSALS = 2
-# A VM list older than this many reading intervals proves no absence.
+# Absence from a VM list proves nothing if the list is older than so many intervals.
 MAX_LIST_AGE_INTERVALS = 3
-# Callers asking at once get spans from this share of ENTRY_KEEP_S up to all of it.
+# Callers may keep an answer for a random time between this share of ENTRY_KEEP_S and
+# all of it.
 MIN_KEEP_SHARE = 0.75
+# Only this many incarnations are remembered; the oldest are dropped first.
 MAX_MET = 4096
-# Fresh connections opened at once when many VMs were lost.
+# At most this many connections are probed at once when many VMs are lost.
 MAX_CONCURRENT_PROBES = 64
 
 
 class EntryAnswer(NamedTuple):
-    """Entry addresses, best first, and how long a caller keeps them (seconds)."""
+    """Entry addresses, best first, and for how many seconds a caller keeps them."""
 
     addresses: tuple[str, ...]
     keep_s: float
@@ -39,7 +41,7 @@
 
 
 class _MetIncarnation:
-    """An incarnation that this VM was connected to."""
+    """An incarnation that this VM has been connected to, and signs that it is gone."""
 
     def __init__(self, address: str):
         self.address = address
@@ -49,7 +51,7 @@
 
 
 class Members:
-    """The other VMs, as this one sees them by its mesh and the VM list.
+    """The other VMs as this VM sees them through its mesh and the VM list.
 
     ::
 
@@ -83,39 +85,39 @@
 
     @property
     def draining(self) -> bool:
-        """Whether this VM is leaving the entry answers for good."""
+        """Whether this VM is draining and no longer in entry answers."""
         return self._draining
 
     def start(self) -> None:
-        """Begin to look for proof that lost VMs are gone."""
+        """Start to check lost VMs for proof that they are gone."""
         interval = self._settings["HEARTBEAT_S"]
         self._subscription = self._timers.every(
             interval, self.check_lost_vms, name="members"
         )
 
     async def stop(self) -> None:
-        """Look no more."""
+        """Stop checking lost VMs."""
         if self._subscription is not None:
             self._subscription.cancel()
 
     def start_draining(self) -> None:
-        """Leave the answers of this VM, and by a heartbeat those of all others."""
+        """Remove this VM from its own answers, and by a heartbeat from all others'."""
         self._draining = True
         self._mesh.heartbeat_changed()
 
     def live_vms(self) -> tuple[str, ...]:
-        """Name this VM and those it is connected to, sorted."""
+        """Return the names of this VM and those it is connected to, sorted."""
         return tuple(sorted({self._mesh.vm, *(info.vm for info in self._mesh.live)}))
 
     def in_data_centre(self, data_centre: str) -> tuple[str, ...]:
-        """Name the live VMs of a data centre, sorted."""
+        """Return the names of the live VMs of a data centre, sorted."""
         names = {info.vm for info in self._mesh.live if info.data_centre == data_centre}
         if self._settings["DATA_CENTRE"] == data_centre:
             names.add(self._mesh.vm)
         return tuple(sorted(names))
 
     def is_silent(self, vm: str, longer_than_s: float) -> bool:
-        """Whether nothing was heard of a VM for longer than this many seconds."""
+        """Whether nothing was received from a VM for longer than so many seconds."""
         if vm == self._mesh.vm:
             return False
         now = self._timers.now()
@@ -127,52 +129,53 @@
     def proof_gone(self, vm: str, incarnation: str) -> str | None:
         """Return what proves that an incarnation has stopped, None without proof.
 
-        ``goodbye``: it said so. ``refused``: fresh connections to the port on which
-        it listened are refused, so its process is gone. ``absent``: a fresh VM list
-        no longer names the VM, which it named after this VM had met the incarnation.
-        A frozen VM refuses nothing and stays listed, so that a freeze proves nothing,
-        and neither does a cut. Only ``goodbye`` counts for a VM that was never met.
+        ``goodbye``: it announced its stop. ``refused``: fresh connections to the port
+        on which it listened are refused, so its process is gone. ``absent``: a fresh VM
+        list no longer contains the VM, though it did after this VM had connected to the
+        incarnation. A frozen VM refuses no connection and stays listed, so neither a
+        freeze nor a network partition is proof. Only ``goodbye`` counts for a VM that
+        this VM was never connected to.
 
-        It is the process that is proved gone, whichever of its lease's incarnations
-        is named: one that goes on under a new lease has not stopped.
+        The proof is for the process, whichever of its incarnations is named: a process
+        that continues under a new lease has not stopped.
         """
         incarnation = process_of(incarnation)
         if self._mesh.gone(vm, incarnation):
             return "goodbye"
         met = self._met.get((vm, incarnation))
-        if met is None or self._connected(vm, incarnation):
+        if met is None or self._is_connected(vm, incarnation):
             return None
         if met.refusals >= MIN_REFUSALS:
             return "refused"
-        if self._list_is_fresh() and self._long_absent(met):
+        if self._list_is_fresh() and self._is_long_absent(met):
             return "absent"
         return None
 
     def entry_answer(self, data_centre: str = "") -> EntryAnswer:
         """Return the addresses that a caller in a data centre should use, best first.
 
-        Up to ``ENTRY_ANSWERS`` of its own data centre come first and as many of
-        others follow. The order is drawn by spare capacity and the time to keep the
-        answer is drawn too, so that callers that all ask at once after a failure
-        neither meet on one VM nor come back together.
+        Up to ``ENTRY_ANSWERS`` of its own data centre come first, then as many of the
+        others. The order is random, weighted by spare capacity, and the time to keep
+        the answer is random too. So callers that all request an answer after a failure
+        neither connect to the same VM nor return at the same time.
         """
-        drawn = sorted(self._entries(), key=self._draw, reverse=True)
+        ranked = sorted(self._entries(), key=self._random_rank, reverse=True)
         count = self._settings["ENTRY_ANSWERS"]
-        near = [entry for entry in drawn if entry.data_centre == data_centre]
-        far = [entry for entry in drawn if entry.data_centre != data_centre]
-        chosen = near[:count] + far[:count]
+        local = [entry for entry in ranked if entry.data_centre == data_centre]
+        remote = [entry for entry in ranked if entry.data_centre != data_centre]
+        chosen = local[:count] + remote[:count]
         keep_s = self._settings["ENTRY_KEEP_S"] * self._rng.uniform(MIN_KEEP_SHARE, 1.0)
         return EntryAnswer(tuple(entry.address for entry in chosen), keep_s)
 
     async def check_lost_vms(self) -> None:
-        """Look once for what proves that lost VMs are gone."""
+        """Check once for proof that lost VMs are gone."""
         listed = {entry.name for entry in self._vm_list.entries}
         connected = {(info.vm, info.incarnation) for info in self._mesh.live}
         fresh = self._list_is_fresh()
         lost = []
         for (vm, incarnation), met in self._met.items():
             if fresh:
-                self._note_listed(met, vm in listed)
+                self._record_listed(met, vm in listed)
             if (vm, incarnation) in connected:
                 met.refusals = 0
                 continue
@@ -199,29 +202,30 @@
             EventKind.PEER_GOODBYE, sender.vm, incarnation=sender.incarnation
         )
 
-    def _note_listed(self, met: _MetIncarnation, listed: bool) -> None:
+    def _record_listed(self, met: _MetIncarnation, listed: bool) -> None:
         if listed:
             met.listed = True
             met.absent_since = None
         elif met.absent_since is None:
             met.absent_since = self._timers.now()
 
-    def _long_absent(self, met: _MetIncarnation) -> bool:
-        # The list lags: just after a VM was replaced under its name, the list may
-        # have dropped the old one and not yet taken up the new. Such a gap is short,
-        # and the new one is connected meanwhile; a lasting absence is no such gap.
-        # OWN-4: nor has a VM that just started been taken up yet. Cut off before, it
-        # would look gone while it lives, so absence counts only after presence.
+    def _is_long_absent(self, met: _MetIncarnation) -> bool:
+        # The list lags. Just after a VM was replaced under its name, the list may lack
+        # the old one and not yet have the new one. Such a gap is short, so only a long
+        # absence counts.
+        # OWN-4: a VM that has just started is not listed yet either. If it is cut off
+        # before, it would look gone while it is live, so absence counts only after the
+        # VM was listed.
         if not met.listed or met.absent_since is None:
             return False
         absent_s = self._timers.now() - met.absent_since
         return absent_s > 2 * self._settings["PEER_SILENT_S"]
 
     def _list_is_fresh(self) -> bool:
-        longest_s = MAX_LIST_AGE_INTERVALS * self._settings["VM_LIST_INTERVAL_S"]
-        return self._vm_list.age_s <= longest_s
+        max_age_s = MAX_LIST_AGE_INTERVALS * self._settings["VM_LIST_INTERVAL_S"]
+        return self._vm_list.age_s <= max_age_s
 
-    def _connected(self, vm: str, incarnation: str) -> bool:
+    def _is_connected(self, vm: str, incarnation: str) -> bool:
         return any(
             info.vm == vm and info.incarnation == incarnation
             for info in self._mesh.live
@@ -253,6 +257,6 @@
     def _leaving(self, entry) -> bool:
         return entry is not None and entry.state == "leaving"
 
-    def _draw(self, entry: _Entry) -> float:
-        # A weighted draw without replacement: the greatest of random() ** (1 / w).
+    def _random_rank(self, entry: _Entry) -> float:
+        # Sorting by random() ** (1 / w) is a weighted draw without replacement.
         return self._rng.random() ** (1.0 / max(1, entry.spare))
--- a/hawthornlead/tests/test_members.py
+++ b/hawthornlead/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Tests of what a VM knows of the others and of entry answers."""
+"""Tests of a VM's view of the other VMs, and of entry answers."""
 
 import random
 from collections import Counter
@@ -15,7 +15,7 @@
 
 from .fakes_mesh import LocalNetwork
 
-PLACES = {"a": "gijon", "b": "gijon", "c": "bilbao", "d": "bilbao"}
+DATA_CENTRES = {"a": "gijon", "b": "gijon", "c": "bilbao", "d": "bilbao"}
 
 
 class Fleet:
@@ -32,8 +32,8 @@
             VM_LIST_ADDRESS="127.0.0.1:1",
             ENTRY_ANSWERS=2,
         )
-        for vm, place in PLACES.items():
-            mesh = self.network.join(vm, place)
+        for vm, home in DATA_CENTRES.items():
+            mesh = self.network.join(vm, home)
             mesh.heartbeat_source = lambda: Heartbeat(1, 0, False, 0, 100, 0.0)
             self.meshes[vm] = mesh
         self.vm_list = VmList(settings=settings, timers=self.timers)
@@ -45,10 +45,10 @@
             vm_list=self.vm_list,
             rng=random.Random(1),
         )
-        self.listed = dict.fromkeys(PLACES, "live")
+        self.listed = dict.fromkeys(DATA_CENTRES, "live")
 
     async def run(self, seconds):
-        """Let time pass, with a look and a read of the VM list each second."""
+        """Advance the time, with one check of lost VMs and one VM list each second."""
         for _ in range(seconds):
             self.read()
             await self.members.check_lost_vms()
@@ -56,7 +56,7 @@
 
     def read(self):
         entries = tuple(
-            VmEntry(vm, "entry", f"{vm}:80", PLACES[vm], state, {})
+            VmEntry(vm, "entry", f"{vm}:80", DATA_CENTRES[vm], state, {})
             for vm, state in self.listed.items()
         )
         self.vm_list.apply(entries, self.timers.now())
@@ -87,8 +87,10 @@
 
 
 async def test_a_freeze_or_a_cut_proves_nothing(fleet):
-    """An owner is frozen or cut off; a successor that took silence for proof would
-    evict adapters under the requests that it still runs once it wakes.
+    """Silence of a frozen or partitioned owner must not count as proof.
+
+    A successor would then evict adapters under requests that the owner still runs once
+    it wakes up.
     """
     fleet.network.silence("a", "b")
     fleet.network.cut("a", "c")
@@ -97,11 +99,11 @@
     assert fleet.members.proof_gone("c", "c-1") is None
 
 
-async def test_a_new_lease_of_a_process_is_neither_proof_nor_without_proof(fleet):
-    """A VM's lease lapses in a store outage; its process goes on as ``b-1+2``.
+async def test_proof_covers_all_incarnations_of_a_process(fleet):
+    """A VM's lease lapses in a store outage and its process continues as ``b-1+2``.
 
-    Nothing has stopped, so neither name is proved gone. When the process dies both
-    are, or whoever waits for proof on the second waits for ever.
+    Neither incarnation is proved gone while the process lives. Both must be when it
+    dies, or a VM that needs proof for the second waits for ever.
     """
     await fleet.run(10)
     for incarnation in ("b-1", "b-1+2"):
@@ -122,7 +124,7 @@
     assert fleet.members.proof_gone("b", "b-0") is None
 
 
-async def test_a_goodbye_proves_it_at_once(fleet):
+async def test_a_goodbye_is_proof_at_once(fleet):
     await fleet.meshes["b"].stop(goodbye=True)
     await fleet.timers.advance(0)
     assert fleet.members.proof_gone("b", "b-1") == "goodbye"
@@ -139,10 +141,10 @@
 
 
 async def test_absence_of_a_vm_that_was_never_listed_proves_nothing(fleet):
-    """A VM has just started, and the lagging list does not name it yet.
+    """A VM that has just started is live but not yet in the lagging VM list.
 
-    Cut off at that moment it is missing from every fresh list, and lives. Taken as
-    proof, its targets would be evicted under its requests.
+    If it is cut off at that moment it is missing from every fresh list. If that counted
+    as proof, adapters would be evicted under its requests.
     """
     fleet.meshes["e"] = fleet.network.join("e", "gijon")
     await fleet.run(5)
@@ -164,17 +166,17 @@
     assert fleet.members.proof_gone("b", "b-1") is None
 
 
-async def test_answers_name_the_callers_data_centre_first_and_a_way_out(fleet):
+async def test_answers_contain_the_callers_data_centre_first_and_then_others(fleet):
     for answer in fleet.answers("bilbao", 20):
         assert set(answer.addresses[:2]) == {"c:80", "d:80"}
         assert set(answer.addresses[2:]) == {"a:80", "b:80"}
         assert 7.5 <= answer.keep_s <= 10.0
 
 
-async def test_callers_that_ask_at_once_spread_by_spare_capacity(fleet):
-    """A VM dies and all its callers ask for another address in the same second.
+async def test_simultaneous_callers_are_spread_by_spare_capacity(fleet):
+    """A VM dies and all its callers request another address in the same second.
 
-    Were they all told the same best one, it would be overloaded next.
+    If all got the same best address, that VM would be overloaded next.
     """
     fleet.meshes["c"].heartbeat_source = lambda: Heartbeat(1, 0, False, 75, 100, 0.0)
     answers = fleet.answers("bilbao", 1000)
@@ -184,7 +186,7 @@
     assert len({answer.keep_s for answer in answers}) == 1000
 
 
-async def test_draining_and_leaving_vms_are_out_of_answers_at_once(fleet):
+async def test_draining_and_leaving_vms_are_removed_from_answers_at_once(fleet):
     fleet.meshes["b"].heartbeat_source = lambda: Heartbeat(1, 0, True, 0, 100, 0.0)
     fleet.listed["c"] = "leaving"
     fleet.read()
--- a/hawthornlead/tests/test_platforms.py
+++ b/hawthornlead/tests/test_platforms.py
@@ -1,4 +1,4 @@
-"""Tests of the VM list."""
+"""Tests of reading the platform's VM list."""
 
 import json
 
@@ -16,18 +16,18 @@
 
 
 class ListHandler(tornado.web.RequestHandler):
-    """Answers with three VMs, and with an entity tag as tornado makes it."""
+    """Answers with a VM list and the entity tag that Tornado computes."""
 
-    def initialize(self, entries=(ENGINE, TIMING, ENTRY), answered=None):
+    def initialize(self, entries=(ENGINE, TIMING, ENTRY), statuses=None):
         self.entries = entries
-        self.answered = [] if answered is None else answered
+        self.statuses = [] if statuses is None else statuses
 
     def get(self):
         vms = [entry._asdict() for entry in self.entries]
         self.write(json.dumps({"vms": vms}))
 
     def on_finish(self):
-        self.answered.append(self.get_status())
+        self.statuses.append(self.get_status())
 
 
 async def test_reads_list_and_keeps_newest():
@@ -53,15 +53,15 @@
     await server.close_all_connections()
     assert (await vm_list.read()).is_err()
     assert vm_list.entries and vm_list.age_s == 0
-    # An answer that was asked for earlier than the one held changes nothing.
+    # A list that was requested before the current one changes nothing.
     vm_list.apply((), timers.now() - 1)
     assert vm_list.entries
     await vm_list.stop()
 
 
-async def test_an_unchanged_list_is_fresh_and_is_not_sent_again():
-    entries, answered = [ENGINE], []
-    parts = {"entries": entries, "answered": answered}
+async def test_an_unchanged_list_is_current_but_not_sent_again():
+    entries, statuses = [ENGINE], []
+    parts = {"entries": entries, "statuses": statuses}
     server = tornado.httpserver.HTTPServer(
         tornado.web.Application([("/vms", ListHandler, parts)])
     )
@@ -74,11 +74,11 @@
     assert (await vm_list.read()).is_ok()
     timers._now += 10
     assert (await vm_list.read()).is_ok()
-    assert answered == [200, 304]
+    assert statuses == [200, 304]
     assert vm_list.age_s == 0 and vm_list.entries == (ENGINE,)
     entries.append(ENTRY)
     assert (await vm_list.read()).is_ok()
-    assert answered == [200, 304, 200]
+    assert statuses == [200, 304, 200]
     assert vm_list.entries == (ENGINE, ENTRY)
     server.stop()
     await server.close_all_connections()
