--- a/hawthornlead/tests/test_leases.py
+++ b/hawthornlead/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Tests of VM leases: renewed by few writes, ended safely, never revived."""
+"""Tests of VM leases: batched renewals, safe termination, no revival."""
 
 import pytest
 
@@ -61,8 +61,8 @@
 
 
 async def test_renewal_took_effect_and_reply_lost(world):
-    # The store takes a registration, and later renewals, but the replies are
-    # lost. The VM must neither register twice nor think that it lost its lease.
+    # The store applies a registration and later renewals, but their replies are lost.
+    # The VM must neither register twice nor conclude that it lost its lease.
     vm = world.add("vm-1")
     vm.store.lose_next_reply = 1
     await world.run(3)
@@ -74,7 +74,7 @@
 
 
 async def test_aggregator_dies(world):
-    # The VM that writes the renewals of the others dies; its own lease runs out,
+    # The VM that writes the renewals of the others dies. Its own lease expires, and
     # theirs must not.
     vms = [world.add(f"vm-{number}") for number in range(4)]
     await world.run(5)
@@ -89,14 +89,14 @@
 
 
 @pytest.mark.parametrize("trouble", ["frozen", "store cut"])
-async def test_aggregator_is_of_no_use(world, trouble):
-    # The aggregator is frozen, or alone is cut from the store. The others renew
-    # by themselves before their leases run out.
+async def test_aggregator_cannot_renew(world, trouble):
+    # The aggregator is frozen, or it alone is cut off from the store. The other VMs
+    # must renew by themselves before their leases expire.
     vms = [world.add(f"vm-{number}") for number in range(4)]
     await world.run(5)
     aggregator = world.vms[vms[0].leases._aggregator()]
     if trouble == "frozen":
-        # The others take it for live, as until they have noticed.
+        # Its peers still see it as live, as they do until they notice its silence.
         aggregator.gate.clear()
     else:
         aggregator.store.outage = True
@@ -109,9 +109,9 @@
 
 
 async def test_silent_vm_is_ended_only_after_its_lease():
-    # A VM freezes. Silence proves nothing: it is ended only when its lease must
-    # have run out by its own clock, here the slowest allowed, and that of the
-    # observer the fastest allowed.
+    # Silence of a frozen VM is no proof. It must be ended only after its lease has
+    # expired by its own clock, which is here the slowest allowed, while the observer's
+    # is the fastest allowed.
     world = World(WATCH_SILENT_S=4.0, CLOCK_RATE_ERROR=0.2)
     frozen = world.add("vm-1", rate=0.8)
     other = world.add("vm-2", rate=1.2)
@@ -128,7 +128,7 @@
         assert not (ended and frozen.leases.held())
     assert ended
     assert other.leases.registration_of(incarnation).proof == "silent"
-    # What was ended without proof is not forgotten before the proof comes.
+    # A registration that ended without proof must be kept until there is proof.
     await world.run(6 * 20 * 1.3)
     assert other.leases.registration_of(incarnation).proof == "silent"
     world.killed.add(incarnation)
@@ -138,8 +138,8 @@
 
 
 async def test_ended_vm_wakes_up(world):
-    # A frozen VM is ended by another and wakes up. It must find out, never renew
-    # the ended incarnation, and come back as a new one.
+    # A frozen VM is ended by another and wakes up. It must notice that, never renew
+    # the ended incarnation, and register as a new one.
     frozen, other = world.add("vm-1"), world.add("vm-2")
     await world.run(5)
     old = frozen.leases.incarnation
@@ -155,14 +155,14 @@
     assert noticed == ["ended"]
     assert frozen.leases.state == "held" and frozen.leases.incarnation != old
     assert other.leases.registration_of(old).proof == "silent"
-    # When no order of the old incarnation can run any more, it says so.
+    # It declares the old incarnation stopped when no order of it can run any more.
     await world.run(3)
     assert other.leases.registration_of(old).proof == "released"
 
 
-async def test_end_meets_renewal(world):
-    # An observer that was cut off has not seen newer renewals and believes that
-    # the lease ran out; its end must fail on the counter in the store.
+async def test_end_fails_after_a_newer_renewal(world):
+    # An observer that was cut off has not seen newer renewals and concludes that the
+    # lease has expired. Its end must fail because the store has another counter.
     holder, observer = world.add("vm-1"), world.add("vm-2")
     await world.run(3)
     incarnation = holder.leases.incarnation
@@ -177,8 +177,8 @@
 
 
 async def test_slow_answer_does_not_lengthen_the_lease(world):
-    # The store answers a renewal later than the lease lasts. Counted from the
-    # answer, the VM would think that it holds a lease which others may end.
+    # The store takes longer to answer a renewal than the lease lasts. If the lease
+    # counted from the answer, the VM would hold a lease that others may already end.
     vm = world.add("vm-1")
     await world.run(3)
     vm.store.slow_s = 4.0
@@ -192,7 +192,8 @@
 
 
 async def test_late_renewal_of_a_former_incarnation(world):
-    # The answer to a renewal arrives after the VM has learned that it was ended.
+    # The answer to a renewal arrives after its incarnation was ended or replaced. It
+    # must not extend the lease.
     vm = world.add("vm-1")
     await world.run(3)
     vm.leases._extend("vm-1.former", vm.timers.now() + 100)
@@ -203,8 +204,8 @@
 
 
 async def test_late_events_change_nothing(world):
-    # Watch events from before a VM registered arrive after it has, and after the
-    # end of another. Neither must look ended, or alive again, for that.
+    # Watch events from before one VM registered, and before another was ended, arrive
+    # afterwards. The first must not look ended, nor the second live again.
     gone = world.add("vm-1")
     await world.run(3)
     objects = world.objects
@@ -221,8 +222,8 @@
 
 
 async def test_store_outage_then_back(world):
-    # The store is down for a minute. Leases lapse; nobody may be ended meanwhile,
-    # and when it is back all hold their leases again, as the same incarnations.
+    # The store is down for a minute and all leases lapse. No VM may be ended, and
+    # afterwards all must hold their leases again, as the same incarnations.
     vms = [world.add(f"vm-{number}") for number in range(3)]
     await world.run(5)
     before = [vm.leases.incarnation for vm in vms]
@@ -236,8 +237,8 @@
 
 
 async def test_store_back_for_one_vm_first(world):
-    # After an outage one VM reaches the store some seconds before the others do.
-    # All counters have stood still, but it must not end the others for that.
+    # After an outage one VM reaches the store some seconds before the others. No
+    # counter has changed meanwhile, but it must not end the others for that.
     first, *others = [world.add(f"vm-{number}") for number in range(3)]
     await world.run(5)
     world.objects.outage = True
@@ -256,7 +257,7 @@
 
 
 async def test_release_and_replacement(world):
-    # A VM shuts down in order and another of the same name takes its place.
+    # A VM shuts down gracefully, and another of the same name replaces it.
     old, other = world.add("vm-1"), world.add("vm-2")
     await world.run(5)
     assert (await old.leases.release()).is_ok()
@@ -274,16 +275,16 @@
     )
 
 
-async def test_unknown_incarnation_is_told_so(world):
+async def test_renewal_of_an_unknown_incarnation_is_not_found(world):
     vm = world.add("vm-1")
     await world.run(3)
     reply = await vm.leases._batcher.handle(None, RenewLease("x", "x.1", 1))
     assert reply.kind == ErrorKind.NOT_FOUND.value
 
 
-async def test_end_stops_half_way(world):
-    # The VM that ends another's lease dies after the first of its two writes.
-    # Another does the second, so that ownership does not wait for ever.
+async def test_half_written_end_is_completed(world):
+    # The VM that ends another's lease dies after the first of its two writes. A third
+    # must do the second write, or the resources stay without an owner for ever.
     gone, first, second = (world.add(f"vm-{number}") for number in range(3))
     await world.run(8)
     incarnation = gone.leases.incarnation
@@ -301,8 +302,8 @@
 
 
 async def test_vm_dies_before_it_is_registered(world):
-    # A VM enters its lease and dies before it registers: nobody knows of it, and
-    # its place among the leases is freed again in time.
+    # A VM enters its lease and dies before it registers, so no other VM knows it. Its
+    # lease must still be removed some time later.
     vm = world.add("vm-1")
     await world.run(3)
     await vm.store.update(
@@ -314,8 +315,8 @@
 
 
 async def test_whole_data_centre_lost(world):
-    # Every VM of a data centre dies unseen. Those of another end their leases,
-    # though they do not follow that data centre's renewals.
+    # Every VM of a data centre dies without proof. VMs of another data centre must end
+    # their leases, though they do not watch that data centre's renewals.
     lost = [world.add("vm-1", "dc2"), world.add("vm-2", "dc2")]
     rest = [world.add("vm-3"), world.add("vm-4")]
     await world.run(8)
--- a/hawthornlead/tests/test_owner_machine.py
+++ b/hawthornlead/tests/test_owner_machine.py
@@ -1,7 +1,7 @@
-"""A state machine over leases and owners: never two owners with the full right.
+"""A state machine test of leases and owners: never two owners with the full right.
 
-Several VMs over one store, their clocks as far apart in rate as the settings can
-allow, under freezes, kills, restarts, cuts, outages and lost replies in any order.
+Several VMs share one store. Their clocks differ in rate as much as the settings allow,
+and freezes, kills, restarts, network cuts, outages and lost replies come in any order.
 """
 
 import asyncio
@@ -37,7 +37,7 @@
 
     @initialize()
     def start(self):
-        """Start four VMs in two data centres, with the widest spread of rates."""
+        """Start four VMs in two data centres, with the largest rate difference."""
         self._loop.run_until_complete(self._start())
 
     async def _start(self):
@@ -61,7 +61,7 @@
 
     @rule(name=st.sampled_from(VMS))
     def freeze_or_thaw(self, name):
-        """Freeze a VM, or thaw it; what it does first is checked at once."""
+        """Freeze a VM, or thaw it; the invariants are checked right afterwards."""
         vm = self._world.vms[name]
         if vm.frozen:
             self._world.thaw(vm)
@@ -70,7 +70,7 @@
 
     @rule(name=st.sampled_from(VMS), proofs=st.booleans())
     def kill_or_restart(self, name, proofs):
-        """Kill a VM, with or without its port telling so, or start it anew."""
+        """Kill a VM, with or without proof by its port, or restart it."""
         vm = self._world.vms[name]
         if vm.alive:
             self._world.proofs = proofs
@@ -84,34 +84,34 @@
 
     @rule()
     def outage(self):
-        """Begin or end an outage of the whole store."""
+        """Start or end an outage of the whole store."""
         self._world.objects.outage = not self._world.objects.outage
 
     @rule(name=st.sampled_from(VMS))
     def cut_from_store(self, name):
-        """Cut one VM from the store, or join it again."""
+        """Cut one VM off from the store, or reconnect it."""
         store = self._world.vms[name].store
         store.outage = not store.outage
 
     @rule(name=st.sampled_from(VMS), other=st.sampled_from(VMS))
     def cut_from_peer(self, name, other):
-        """Cut or join two VMs."""
+        """Cut the connection of two VMs, or restore it."""
         self._world.cuts ^= {frozenset((name, other))}
 
     @rule(name=st.sampled_from(VMS), replies=st.integers(1, 3))
     def lose_replies(self, name, replies):
-        """Let a VM's next writes take effect unanswered."""
+        """Lose the replies to a VM's next writes, which take effect."""
         self._world.vms[name].store.lose_next_reply = replies
 
     @rule(name=st.sampled_from(VMS))
     def disturb_watches(self, name):
-        """Make the open watches of a VM silent."""
+        """Make a VM's open watches deliver nothing more."""
         self._world.vms[name].store.silence_watches()
 
     @precondition(lambda self: self._world is not None)
     @rule(name=st.sampled_from(VMS), resource=st.sampled_from(RESOURCES))
     def release(self, name, resource):
-        """Have a VM give a resource back, and want it again at once."""
+        """Have a VM release a resource and request it again at once."""
         vm = self._world.vms[name]
         if not vm.alive or vm.frozen or vm.owners.owned(resource) is None:
             return
@@ -131,7 +131,7 @@
                 self._fences[resource] = fence
 
     def teardown(self):
-        """Heal everything: each resource must have an owner again; then end."""
+        """End all faults; each resource must then have an owner again."""
         if self._world is not None:
             self._loop.run_until_complete(self._heal())
         self._loop.run_until_complete(self._loop.shutdown_asyncgens())
--- a/hawthornlead/tests/test_owners.py
+++ b/hawthornlead/tests/test_owners.py
@@ -1,4 +1,4 @@
-"""Tests of ownership: one owner at a time, fences that rise, quick takeovers."""
+"""Tests of ownership: one owner at a time, rising fences and quick takeovers."""
 
 import asyncio
 
@@ -32,7 +32,7 @@
     return [vm.owners.right(resource) for vm in world.vms.values()]
 
 
-async def test_takes_wanted(world):
+async def test_takes_over_requested_resource(world):
     first, second = world.add("vm-1"), world.add("vm-2")
     await world.run(5)
     assert sorted(right.value for right in rights(world)) == ["full", "none"]
@@ -58,8 +58,8 @@
 
 
 async def test_proved_gone_is_replaced_quickly(world):
-    # The owner's process is killed and its port refuses. Another takes over
-    # within about a second and need not wait for the dead owner's lease.
+    # The owner's process is killed and its port refuses connections. Another VM must
+    # take over within about a second, without a wait for the dead owner's lease.
     for number in range(3):
         world.add(f"vm-{number}")
     await world.run(5)
@@ -73,9 +73,9 @@
 
 
 async def test_owner_frozen_past_its_lease(world):
-    # The owner freezes. A successor takes over when the lease has run out, and
-    # waits out the longest order. The first wakes up: it must not order anything,
-    # from its first instruction on, and must learn that it was superseded.
+    # The owner freezes. A successor takes over when the lease has expired, and waits
+    # for the longest order to end. The first owner wakes up. From its first instruction
+    # on it must not order anything, and it must learn that it was superseded.
     for number in range(3):
         world.add(f"vm-{number}")
     await world.run(5)
@@ -96,7 +96,7 @@
     await world.run(2)
     assert frozen.owners.right(ENGINE) is OrderRight.NONE and lost == [ENGINE]
     assert world.owner_of(ENGINE) is successor
-    # Proof that comes later tells the successor that nothing more can follow.
+    # Later proof tells the successor that the first owner can send no more orders.
     world.killed.add(records(world)[0].unproved[0].incarnation)
     assert successor.owners.owned(ENGINE).predecessor_stopped
 
@@ -107,10 +107,10 @@
 
 
 async def test_chain_of_owners_without_proof(world):
-    # An owner is frozen and its successor has no proof that it stopped. The
-    # successor is killed, which is proved, and a third VM takes over. It must not
-    # take the proof of the second's end for one of the first's: the first wakes in
-    # an outage and grants, and an eviction would break its requests.
+    # An owner is frozen and its successor has no proof that it stopped. The successor
+    # is killed with proof, and a third VM takes over. It must not treat that proof as
+    # one for the first owner: if the first wakes up in a store outage and grants, an
+    # eviction would break its requests.
     for number in range(4):
         world.add(f"vm-{number}")
     await world.run(5)
@@ -134,9 +134,9 @@
 
 
 async def test_order_of_an_owner_with_a_slow_clock(world):
-    # An owner sends an order in the last moment of its lease, and its clock is
-    # slower than its successor's. After ORDER_S by the successor's clock the order
-    # may still take effect.
+    # An owner sends an order in the last moment of its lease, and its clock is slower
+    # than its successor's. The order may take effect even after ORDER_S by the
+    # successor's clock.
     for number in range(2):
         world.add(f"vm-{number}")
     await world.run(5)
@@ -150,10 +150,10 @@
     assert successor.owners.right(ENGINE) is not OrderRight.NONE
 
 
-async def test_order_that_its_owner_did_not_survive(world):
-    # An owner sends an eviction and is killed. The proof of its end says nothing of
-    # the order, which may take effect for ORDER_S. The successor must know, also
-    # the next one if it gives back before.
+async def test_order_of_a_killed_owner_may_still_take_effect(world):
+    # An owner sends an eviction and is killed. The proof of its end does not cover the
+    # order, which may take effect for ORDER_S. The successor must wait for it, and if
+    # it releases the resource before, the next owner must.
     for number in range(3):
         world.add(f"vm-{number}")
     await world.run(5)
@@ -173,9 +173,9 @@
 
 
 @pytest.mark.parametrize("open_order", [False, True])
-async def test_given_back_with_an_order_under_way(world, open_order):
-    # A VM shuts down and gives its target back right after it sent an eviction.
-    # The successor may go on at once only if no order is under way.
+async def test_release_with_an_order_under_way(world, open_order):
+    # A VM shuts down and releases its target right after it sent an eviction. The
+    # successor need not wait only if no order is under way.
     for number in range(2):
         world.add(f"vm-{number}")
     await world.run(5)
@@ -189,8 +189,8 @@
 
 
 async def test_lease_shorter_than_the_longest_order():
-    # With LEASE_S below ORDER_S no lease is ever held for a whole order. The owner
-    # has the right all the same: its successor waits out the lease, then the order.
+    # With LEASE_S below ORDER_S a lease never lasts for a whole order. The owner must
+    # have the right all the same: its successor waits for the lease, then the order.
     world = World(LEASE_S=3.0, LEASE_RENEW_S=1.0, ORDER_S=8.0, WATCH_SILENT_S=4.0)
     world.request(ENGINE)
     for number in range(2):
@@ -210,9 +210,9 @@
     await world.stop()
 
 
-async def test_take_took_effect_and_reply_lost(world):
-    # The takeover is written and its reply lost, with the read back failing too.
-    # The VM must not leave the resource without an owner that knows itself one.
+async def test_takeover_took_effect_and_reply_lost(world):
+    # The takeover is written, but its reply is lost and reading the record back fails.
+    # The VM must learn later that it is the owner, or the resource has none in effect.
     vm = world.add("vm-1")
     put = vm.store._put
 
@@ -234,8 +234,8 @@
 
 
 async def test_two_take_over_at_once(world, monkeypatch):
-    # All VMs believe that it is their turn and take in the same instant: one
-    # conditional update wins, the others see its owner live and leave it.
+    # All VMs find that it is their turn and try at the same moment. One conditional
+    # update succeeds; the others must see a live owner and not take over.
     monkeypatch.setattr("hawthornlead.ownership.takeover_orders.RANK_DELAY_S", 0.0)
     for number in range(5):
         world.add(f"vm-{number}")
@@ -248,8 +248,8 @@
 
 
 async def test_store_outage_degrades_then_recovers(world):
-    # The store is down for a minute. The owner can't tell that from its own cut:
-    # it goes degraded, nobody else takes over, and it recovers with its fence.
+    # The store is down for a minute, which the owner can't tell from being cut off. Its
+    # right must become degraded, nobody may take over, and it must keep its fence.
     for number in range(3):
         world.add(f"vm-{number}")
     await world.run(5)
@@ -265,7 +265,7 @@
 
 
 async def test_release_at_shutdown(world):
-    # A graceful shutdown gives back: the successor has the right at once.
+    # A graceful shutdown releases resources, so the successor has the right at once.
     for number in range(3):
         world.add(f"vm-{number}")
     await world.run(5)
@@ -281,9 +281,9 @@
 
 
 async def test_release_with_lost_reply(world):
-    # The release took effect, its reply was lost and the store then went away.
-    # Another VM takes the resource. A late watch event from before the release
-    # says that the releaser owns it, which it must not believe.
+    # A release takes effect, its reply is lost and the store fails. Another VM takes
+    # the resource over. A late watch event from before the release names the first VM
+    # as owner, which that VM must not act on.
     releaser = world.add("vm-1")
     await world.run(5)
     other = world.add("vm-2")
@@ -313,9 +313,9 @@
     assert other.owners.owned(ENGINE).fence == 2
 
 
-async def test_late_event_does_not_take_away(world):
-    # A VM takes a resource; a watch event from before that arrives afterwards and
-    # shows the former owner. The VM must not give up what it owns.
+async def test_late_event_does_not_end_ownership(world):
+    # A VM takes a resource over. A watch event from before arrives afterwards and names
+    # the former owner. The VM must not conclude that it lost the resource.
     world.add("vm-1")
     await world.run(5)
     before = world.objects.get("owners", shard_of(ENGINE))
@@ -327,9 +327,9 @@
 
 
 async def test_ended_owner_sees_its_old_record(world):
-    # An owner was ended and has noticed. The record still names it, since nobody
-    # took the resource yet, and is told anew with another change of the object.
-    # It may order nothing under it, also when it is registered again.
+    # An owner was ended and has noticed. The record still names it, since nobody has
+    # taken the resource over, and arrives again with another change of the object. The
+    # VM may order nothing under it, not even when it is registered again.
     owner = world.add("vm-1")
     await world.run(5)
     other = world.add("vm-2")
@@ -350,7 +350,7 @@
     assert owner.owners.owned(ENGINE).fence == 2
 
 
-async def test_forget_gives_back(world):
+async def test_withdrawn_resource_is_released(world):
     vm = world.add("vm-1")
     await world.run(5)
     vm.owners.withdraw(ENGINE)
@@ -359,9 +359,9 @@
     assert records(world)[0].free and records(world)[0].fence == 1
 
 
-async def test_unknown_incarnation_is_looked_up(world):
-    # A VM's view of the registrations lags behind its view of the records: the
-    # owner looks unregistered, though it has just registered and taken.
+async def test_unknown_incarnation_is_checked_in_the_store(world):
+    # A VM's view of the registrations lags behind its view of the records. An owner
+    # that has just registered looks unregistered and must not be replaced.
     late, owner = world.add("vm-1"), world.add("vm-2")
     late.owners.withdraw(ENGINE)
     await world.run(5)
