--- a/hawthornlead/engines/grants.py
+++ b/hawthornlead/engines/grants.py
@@ -153,13 +153,7 @@
 class Grants:
     """All grants that this VM holds."""
 
-    def __init__(
-        self,
-        *,
-        core: CoreParts,
-        mesh,
-        owners,
-    ):
+    def __init__(self, *, core: CoreParts, mesh, owners):
         self._settings = core.settings
         self._timers = core.timers
         self._events = core.events
--- a/hawthornlead/tests/fakes_engines.py
+++ b/hawthornlead/tests/fakes_engines.py
@@ -171,7 +171,7 @@
         if not still_allowed():
             return Err(Failure(ErrorKind.NO_GRANT, "the right ended"))
         if late is not None:
-            self._land_late(late[1], fence, AdapterVersion(adapter, version))
+            self._evict_late(late[1], fence, AdapterVersion(adapter, version))
             await self._engine.timers.sleep(timeout_s - late[0])
             return Err(Failure(ErrorKind.TARGET_LOST, "no answer in time"))
         if self.freeze_after_check is not None:
@@ -186,12 +186,12 @@
             return outcome
         return Ok(OrderReply(self._engine.now(), self._engine.boot_id))
 
-    def _land_late(self, seconds, fence, key):
-        async def land():
+    def _evict_late(self, seconds, fence, key):
+        async def carry_out_later():
             await self._engine.timers.sleep(seconds)
             await self._engine.carry_out(Order.EVICT, fence, key)
 
-        task = asyncio.get_running_loop().create_task(land())
+        task = asyncio.get_running_loop().create_task(carry_out_later())
         self._late.add(task)
         task.add_done_callback(self._late.discard)
 
--- a/hawthornlead/tests/fakes_joined.py
+++ b/hawthornlead/tests/fakes_joined.py
@@ -186,8 +186,8 @@
 
     def acquire(self, vm, adapter, wait_s=90.0, target="engine", load=True):
         """Ask for a grant in a task."""
-        asking = vm.grants.acquire(target, Assigned(adapter), wait_s, load)
-        return asyncio.get_running_loop().create_task(asking)
+        acquiring = vm.grants.acquire(target, Assigned(adapter), wait_s, load)
+        return asyncio.get_running_loop().create_task(acquiring)
 
     async def stream(self, vm, grant, adapter, request_id, tokens):
         """Run a request under a grant and wait for its whole answer."""
--- a/hawthornlead/tests/fakes_takeovers.py
+++ b/hawthornlead/tests/fakes_takeovers.py
@@ -10,8 +10,8 @@
 async def owned_world(*args, **settings):
     """Return a world in which VM ``a`` owns the target and the allowance."""
     world = World(*args, **settings)
-    world.give("a", ALLOWANCE)
-    world.give("a")
+    world.assign("a", ALLOWANCE)
+    world.assign("a")
     await world.advance(1.0)
     return world
 
@@ -35,8 +35,8 @@
     world.acquire("a", "lap", wait_s=100)
     await world.advance(1)
     world.freeze("a")
-    world.give("c", ALLOWANCE, stopped=True)
-    world.give("c", stopped=True)
+    world.assign("c", ALLOWANCE, stopped=True)
+    world.assign("c", stopped=True)
     return woken
 
 
--- a/hawthornlead/tests/fakes_worlds.py
+++ b/hawthornlead/tests/fakes_worlds.py
@@ -72,8 +72,8 @@
         self.records = records
         self.ownerships = {}
         self.rights = {}
-        self.taken = []
-        self.lost = []
+        self.taken_callbacks = []
+        self.lost_callbacks = []
 
     def request(self, resource, data_centre):
         """Take nothing by itself."""
@@ -83,14 +83,14 @@
 
     def on_taken(self, callback):
         """Call back with ownerships."""
-        self.taken.append(callback)
+        self.taken_callbacks.append(callback)
 
     def set_open_order_check(self, has_open_order):
         """Give nothing back by itself."""
 
     def on_lost(self, callback):
         """Call back with resources."""
-        self.lost.append(callback)
+        self.lost_callbacks.append(callback)
 
     def owner_of(self, resource):
         """The newest record."""
@@ -135,11 +135,11 @@
 
     async def call(self, vm, message, timeout_s=2.0):
         """Send and wait for the reply."""
-        return await self._world.carry(self.vm, vm, message, timeout_s)
+        return await self._world.deliver(self.vm, vm, message, timeout_s)
 
     def cast(self, vm, message):
         """Send without a reply."""
-        self._world.spawn(self._world.carry(self.vm, vm, message, 1e9))
+        self._world.spawn(self._world.deliver(self.vm, vm, message, 1e9))
         return True
 
     def broadcast(self, message):
@@ -257,22 +257,22 @@
             if name != vm and not other.dead and frozenset((name, vm)) not in self.cuts
         )
 
-    async def carry(self, sender, vm, message, timeout_s):
+    async def deliver(self, sender, vm, message, timeout_s):
         """Carry a message there and its reply back."""
-        away = Err(Failure(ErrorKind.PEER_UNAVAILABLE, f"{vm} is away"))
+        unavailable = Err(Failure(ErrorKind.PEER_UNAVAILABLE, f"{vm} is away"))
         source, other = self.vms[sender], self.vms[vm]
         await source.awake.wait()
         if source.dead or other.dead or frozenset((sender, vm)) in self.cuts:
-            return away
+            return unavailable
         handling = self.spawn(self._handle(source, other, message))
-        over = asyncio.Event()
-        source.timers.after(timeout_s, over.set, name="call")
-        waiting = asyncio.ensure_future(over.wait())
+        timed_out = asyncio.Event()
+        source.timers.after(timeout_s, timed_out.set, name="call")
+        waiting = asyncio.ensure_future(timed_out.wait())
         await asyncio.wait({handling, waiting}, return_when="FIRST_COMPLETED")
         waiting.cancel()
         await source.awake.wait()
         if not handling.done() or frozenset((sender, vm)) in self.cuts:
-            return away
+            return unavailable
         return handling.result()
 
     async def _handle(self, source, other, message):
@@ -286,7 +286,7 @@
             return Err(Failure(kind, reply.detail, reply.retry_after_s))
         return Ok(reply)
 
-    def give(self, vm, resource=TARGET, *, stopped=False, old_right=OrderRight.NONE):
+    def assign(self, vm, resource=TARGET, *, stopped=False, old_right=OrderRight.NONE):
         """Let ``vm`` take a resource; ``old_right`` is what its predecessor believes.
 
         ``stopped`` says that the predecessor is proved to have stopped.
@@ -299,21 +299,28 @@
             if old_right is OrderRight.NONE:
                 old.ownerships.pop(resource, None)
                 if not self.vms[before].dead and self.vms[before].awake.is_set():
-                    for callback in old.lost:
+                    for callback in old.lost_callbacks:
                         callback(resource)
             else:
                 old.rights[resource] = old_right
         self.records[resource] = FakeOwnerRecord(vm, vm, fence)
-        taker = self.vms[vm]
-        now = taker.timers.now()
+        new_owner = self.vms[vm]
+        now = new_owner.timers.now()
         # As real owners do, it waits out the orders of its predecessor.
-        ends_at = now + self.settings["ORDER_S"] * 1.03 if before else now
+        predecessor_orders_end_at = (
+            now + self.settings["ORDER_S"] * 1.03 if before else now
+        )
         ownership = FakeOwnership(
-            resource, fence, now, before, stopped or not before, ends_at
+            resource,
+            fence,
+            now,
+            before,
+            stopped or not before,
+            predecessor_orders_end_at,
         )
-        taker.owners.ownerships[resource] = ownership
-        taker.owners.rights[resource] = OrderRight.FULL
-        for callback in taker.owners.taken:
+        new_owner.owners.ownerships[resource] = ownership
+        new_owner.owners.rights[resource] = OrderRight.FULL
+        for callback in new_owner.owners.taken_callbacks:
             callback(ownership)
 
     def degrade(self, vm, resource=TARGET):
--- a/hawthornlead/tests/test_allowances.py
+++ b/hawthornlead/tests/test_allowances.py
@@ -9,13 +9,13 @@
 from .fakes_worlds import ALLOWANCE, World
 
 
-class _Loads:
+class _LoadRecorder:
     """Loads at the weight store, as the store would count them."""
 
     def __init__(self, world):
         self.world = world
         self.running = 0
-        self.most = 0
+        self.max_running = 0
         self.started = []
 
     async def run(
@@ -24,35 +24,35 @@
         """Ask ``vm`` for leave and load."""
         allowances = self.world.vms[vm].allowances
         key = AdapterVersion(f"adapter-{number}", "1")
-        leave = await allowances.acquire("weights", "engine", key, priority, wait_s)
-        if leave.is_err():
-            return leave
+        permit = await allowances.acquire("weights", "engine", key, priority, wait_s)
+        if permit.is_err():
+            return permit
         await self.world.timers.sleep(late_s)
         self.running += 1
-        self.most = max(self.most, self.running)
+        self.max_running = max(self.max_running, self.running)
         self.started.append((self.world.timers.now(), number))
         await self.world.timers.sleep(load_s)
         self.running -= 1
         if release:
-            allowances.release(leave.ok_value, loaded=True)
-        return leave
+            allowances.release(permit.ok_value, loaded=True)
+        return permit
 
     def spawn(self, vm, number, load_s, **options):
         return self.world.spawn(self.run(vm, number, load_s, **options))
 
-    def most_in(self, span_s):
+    def max_starts_in(self, window_s):
         """The most loads that were started within any stretch of time."""
         times = [at for at, _ in self.started]
         return max(
-            len([at for at in times if start <= at < start + span_s - 1e-6])
+            len([at for at in times if start <= at < start + window_s - 1e-6])
             for start in times
         )
 
 
 async def _world(vms="ab", **settings):
     world = World(vms, **{"LOADS_PER_S": 6.0, "LOADS_AT_ONCE": 2, **settings})
-    world.give("a", ALLOWANCE)
-    return world, _Loads(world)
+    world.assign("a", ALLOWANCE)
+    return world, _LoadRecorder(world)
 
 
 async def test_rate_and_loads_at_once():
@@ -60,12 +60,12 @@
     tasks = [loads.spawn("ab"[n % 2], n, 0.2) for n in range(24)]
     await world.advance(10)
     assert all(task.done() for task in tasks)
-    assert loads.most == 2 and loads.most_in(1.0) <= 6
+    assert loads.max_running == 2 and loads.max_starts_in(1.0) <= 6
 
 
 @pytest.mark.parametrize("late_s", [0.1, 0.4, 1.5])
 @pytest.mark.parametrize("late", [0, 5, 12])
-async def test_a_load_that_starts_late_does_not_crowd_those_after_it(late, late_s):
+async def test_a_load_that_starts_late_does_not_exceed_the_rate(late, late_s):
     """The weight store slows down: it sees seven loads a second where six are agreed.
 
     The owner of a target has leave to load and first evicts an adapter, or the target
@@ -81,7 +81,7 @@
     ]
     await world.advance(10)
     assert all(task.done() for task in tasks)
-    assert loads.most_in(1.0) <= 6
+    assert loads.max_starts_in(1.0) <= 6
 
 
 async def test_long_loads_overlap_at_a_low_rate():
@@ -89,10 +89,10 @@
     for n in range(8):
         loads.spawn("a", n, 3.0)
     await world.advance(30)
-    assert loads.most == 2 and len(loads.started) == 8
+    assert loads.max_running == 2 and len(loads.started) == 8
 
 
-async def test_a_failed_vm_loses_its_permits_only_by_time():
+async def test_permits_of_a_dead_vm_end_only_by_expiry():
     """A VM dies while its load runs at the engine, and gives nothing back.
 
     Its permit must count until the load has surely ended, and no longer: then the
@@ -106,7 +106,7 @@
     await world.advance(5)
     assert not waiting.done()
     await world.advance(4)
-    assert waiting.done() and loads.most == 1
+    assert waiting.done() and loads.max_running == 1
 
 
 async def test_change_of_holder_waits_for_unknown_permits():
@@ -119,20 +119,20 @@
         loads.spawn("b", number, 4.9)
     await world.advance(0.5)
     world.kill("a")
-    world.give("c", ALLOWANCE, stopped=True)
+    world.assign("c", ALLOWANCE, stopped=True)
     later = [loads.spawn("b", 10 + n, 0.3) for n in range(6)]
     await world.advance(30)
     assert all(task.done() for task in later)
-    assert loads.most == 2 and loads.most_in(1.0) <= 6
+    assert loads.max_running == 2 and loads.max_starts_in(1.0) <= 6
 
 
-async def test_two_holders_in_doubt_share_the_allowance():
+async def test_two_unproved_holders_share_the_allowance():
     """The holder is cut from the store and a successor took over without proof.
 
     Both hand out loads. Each gives half, so that together they keep to the whole.
     """
     world, loads = await _world("ab")
-    world.give("b", ALLOWANCE, old_right=OrderRight.DEGRADED)
+    world.assign("b", ALLOWANCE, old_right=OrderRight.DEGRADED)
     await world.advance(10)
     for number in range(12):
         world.records[ALLOWANCE] = world.records[ALLOWANCE]._replace(
@@ -142,10 +142,10 @@
         await world.advance(0.05)
     await world.advance(20)
     assert loads.running == 0 and len(loads.started) == 12
-    assert loads.most == 2 and loads.most_in(1.0) <= 6
+    assert loads.max_running == 2 and loads.max_starts_in(1.0) <= 6
 
 
-async def test_frozen_holder_hands_out_nothing_when_it_wakes():
+async def test_frozen_holder_issues_no_permit_when_it_wakes():
     """A holder freezes with askers waiting and wakes after its successor began."""
     world, loads = await _world("ab", LOADS_AT_ONCE=1)
     loads.spawn("b", 1, 3.0)
@@ -153,14 +153,14 @@
     waiting = loads.spawn("b", 2, 1.0)
     await world.advance(0.5)
     world.freeze("a")
-    world.give("b", ALLOWANCE, stopped=True)
+    world.assign("b", ALLOWANCE, stopped=True)
     await world.advance(20)
     await world.thaw("a")
     await world.advance(1)
-    assert waiting.result().is_err() and loads.most == 1
+    assert waiting.result().is_err() and loads.max_running == 1
 
 
-async def test_what_cannot_be_made_in_time_is_refused_at_once():
+async def test_permit_that_would_come_too_late_is_refused_at_once():
     world, loads = await _world(LOADS_PER_S=1.0, LOADS_AT_ONCE=1)
     for number in range(5):
         loads.spawn("a", number, 0.5)
@@ -183,5 +183,5 @@
 
 async def test_nobody_holds_the_allowance():
     world = World("a")
-    leave = await _Loads(world).run("a", 1, 0.1)
-    assert leave.unwrap_err().kind is ErrorKind.NO_GRANT
+    permit = await _LoadRecorder(world).run("a", 1, 0.1)
+    assert permit.unwrap_err().kind is ErrorKind.NO_GRANT
--- a/hawthornlead/tests/test_exchanges.py
+++ b/hawthornlead/tests/test_exchanges.py
@@ -40,7 +40,7 @@
     assert "closed before its answer" in sent.err_value.detail
 
 
-async def test_a_request_that_the_network_holds_back_is_given_up():
+async def test_a_request_that_the_network_holds_back_is_abandoned():
     """An adapter is evicted under a run that nobody had seen coming.
 
     The request was sent in its grant's last instant and a lossy network delivered
--- a/hawthornlead/tests/test_grant_ledgers.py
+++ b/hawthornlead/tests/test_grant_ledgers.py
@@ -15,7 +15,7 @@
 ENGINE_AHEAD_S = 500.0
 
 
-class _Book:
+class _LedgerParts:
     def __init__(self):
         self.timers = ManualTimerService()
         self.clock = EngineClock()
@@ -39,82 +39,82 @@
 
 
 @pytest.fixture
-def book():
-    return _Book()
+def parts():
+    return _LedgerParts()
 
 
-async def _run_out(book):
-    grant = book.ledger.issue("b", TIDE, 1)
-    await book.timers.advance(book.ledger.max_lifetime_s() + MAX_SEND_S)
+async def _expire_grant(parts):
+    grant = parts.ledger.issue("b", TIDE, 1)
+    await parts.timers.advance(parts.ledger.max_lifetime_s() + MAX_SEND_S)
     # By a clock that is fast by its rate error, MAX_SEND_S is not over yet.
-    book.observe()
-    assert not book.ledger.idle(TIDE)
-    await book.timers.advance(book.ledger.max_send_s() - MAX_SEND_S)
+    parts.observe()
+    assert not parts.ledger.idle(TIDE)
+    await parts.timers.advance(parts.ledger.max_send_s() - MAX_SEND_S)
     return grant
 
 
-async def test_released_is_idle(book):
-    grant = book.ledger.issue("b", TIDE, 1)
-    assert not book.ledger.idle(TIDE)
-    book.ledger.release(grant.grant_id)
-    assert book.ledger.idle(TIDE)
+async def test_released_is_idle(parts):
+    grant = parts.ledger.issue("b", TIDE, 1)
+    assert not parts.ledger.idle(TIDE)
+    parts.ledger.release(grant.grant_id)
+    assert parts.ledger.idle(TIDE)
 
 
-async def test_ran_out_needs_a_later_report(book):
-    await _run_out(book)
-    assert not book.ledger.idle(TIDE)
-    book.observe(age_s=1.0)
-    assert not book.ledger.idle(TIDE)
-    book.observe(running=1)
-    assert not book.ledger.idle(TIDE)
-    book.observe()
-    assert book.ledger.idle(TIDE)
+async def test_expired_grant_needs_a_later_report(parts):
+    await _expire_grant(parts)
+    assert not parts.ledger.idle(TIDE)
+    parts.observe(age_s=1.0)
+    assert not parts.ledger.idle(TIDE)
+    parts.observe(running=1)
+    assert not parts.ledger.idle(TIDE)
+    parts.observe()
+    assert parts.ledger.idle(TIDE)
 
 
-async def test_report_with_a_queue_proves_nothing(book):
+async def test_report_with_a_queue_proves_nothing(parts):
     """A request waits inside the engine, for an adapter that the report hides."""
-    await _run_out(book)
-    book.observe(queued=1)
-    assert not book.ledger.idle(TIDE)
+    await _expire_grant(parts)
+    parts.observe(queued=1)
+    assert not parts.ledger.idle(TIDE)
 
 
-async def test_request_on_its_way_when_the_grant_ran_out(book):
+async def test_request_under_way_when_the_grant_expired(parts):
     """A request was sent in its grant's last moment and has not arrived.
 
     A report of that moment shows nothing running; evicting then would break the
     request as it arrives.
     """
-    book.ledger.issue("b", TIDE, 1)
-    await book.timers.advance(book.ledger.max_lifetime_s())
-    book.observe()
-    assert not book.ledger.idle(TIDE)
-
-
-async def test_unknown_grants_cover_every_adapter(book):
-    book.ledger.assume_unknown_until(None)
-    book.observe()
-    assert not book.ledger.idle(TIDE)
-    book.ledger.assume_unknown_until(book.timers.now() + 5)
-    book.observe()
-    assert not book.ledger.idle(TIDE)
-    await book.timers.advance(5)
-    book.observe(running=1)
-    assert not book.ledger.idle(TIDE)
-    assert book.ledger.idle(AdapterVersion("lap", "1"))
-    book.observe()
-    assert book.ledger.idle(TIDE)
-
-
-async def test_renewal_extends_only_what_has_not_run_out(book):
-    grant = book.ledger.issue("b", TIDE, 1)
-    await book.timers.advance(5)
-    assert book.ledger.renew((grant.grant_id, "other")) == (grant.grant_id,)
-    await book.timers.advance(20)
-    assert book.ledger.renew((grant.grant_id,)) == ()
-
-
-def test_probe_of_another_start_forgets_the_old(book):
-    clock = book.clock
+    parts.ledger.issue("b", TIDE, 1)
+    await parts.timers.advance(parts.ledger.max_lifetime_s())
+    parts.observe()
+    assert not parts.ledger.idle(TIDE)
+
+
+async def test_unknown_grants_cover_every_adapter(parts):
+    parts.ledger.assume_unknown_until(None)
+    parts.observe()
+    assert not parts.ledger.idle(TIDE)
+    parts.ledger.assume_unknown_until(parts.timers.now() + 5)
+    parts.observe()
+    assert not parts.ledger.idle(TIDE)
+    await parts.timers.advance(5)
+    parts.observe(running=1)
+    assert not parts.ledger.idle(TIDE)
+    assert parts.ledger.idle(AdapterVersion("lap", "1"))
+    parts.observe()
+    assert parts.ledger.idle(TIDE)
+
+
+async def test_renewal_extends_only_unexpired_grants(parts):
+    grant = parts.ledger.issue("b", TIDE, 1)
+    await parts.timers.advance(5)
+    assert parts.ledger.renew((grant.grant_id, "other")) == (grant.grant_id,)
+    await parts.timers.advance(20)
+    assert parts.ledger.renew((grant.grant_id,)) == ()
+
+
+def test_probe_of_another_incarnation_clears_earlier_probes(parts):
+    clock = parts.clock
     assert not clock.record_probe(10.0, 500.0, "one")
     assert clock.proves_after(500.0, 9.0) and not clock.proves_after(499.0, 9.0)
     assert not clock.proves_after(900.0, 11.0)
--- a/hawthornlead/tests/test_grants.py
+++ b/hawthornlead/tests/test_grants.py
@@ -52,7 +52,7 @@
         self.sent.append(message)
         return True
 
-    def of(self, message_type):
+    def sent_of(self, message_type):
         return [message for message in self.sent if isinstance(message, message_type)]
 
 
@@ -104,21 +104,21 @@
     assert third.grant_id == first.grant_id
 
 
-async def test_time_counts_from_the_asking(grants, mesh, parts):
+async def test_grant_time_counts_from_the_request(grants, mesh, parts):
     """The owner's reply takes eight of the grant's ten seconds.
 
     Counted from the reply, the grant would outlive its end at the owner, which
     might evict while a request begins.
     """
     mesh.delay_s = 8.0
-    asked_at = parts.timers.now()
-    asking = grants.acquire("engine", Assigned("tide"), wait_s=20.0)
-    task = asyncio.ensure_future(asking)
+    requested_at = parts.timers.now()
+    acquiring = grants.acquire("engine", Assigned("tide"), wait_s=20.0)
+    task = asyncio.ensure_future(acquiring)
     await asyncio.sleep(0)
     await asyncio.sleep(0)
     await parts.timers.advance(8.5)
     grant = task.result().unwrap()
-    assert grant.ends_at <= asked_at + 10.0
+    assert grant.ends_at <= requested_at + 10.0
 
 
 async def test_frozen_between_acquire_and_send(grants, parts):
@@ -137,10 +137,10 @@
     assert grant.start("r1").is_ok()
     ends_at = grant.ends_at
     await parts.timers.advance(20)
-    assert grant.ends_at > ends_at and mesh.of(RenewGrants)
+    assert grant.ends_at > ends_at and mesh.sent_of(RenewGrants)
     grant.finish("r1", ended=True)
     await parts.timers.advance(20)
-    assert mesh.of(ReleaseGrant) == [ReleaseGrant("engine", "g1", 0)]
+    assert mesh.sent_of(ReleaseGrant) == [ReleaseGrant("engine", "g1", 0)]
 
 
 async def test_owner_that_cannot_renew_ends_new_work_only(grants, mesh, parts):
@@ -158,14 +158,14 @@
     assert grant.lost_at > parts.timers.now()
 
 
-async def test_revoked_while_running_is_given_back_after(grants, mesh):
+async def test_grant_revoked_while_running_is_released_after(grants, mesh):
     grant = await _get(grants)
     assert grant.start("r1").is_ok()
     await mesh.handlers[RevokeGrant](None, RevokeGrant("engine", "g1"))
-    assert mesh.of(ReleaseGrant) == []
+    assert mesh.sent_of(ReleaseGrant) == []
     assert (await _get(grants)).grant_id == "g2"
     grant.finish("r1", ended=True)
-    assert mesh.of(ReleaseGrant) == [ReleaseGrant("engine", "g1", 0)]
+    assert mesh.sent_of(ReleaseGrant) == [ReleaseGrant("engine", "g1", 0)]
     assert grant.start("r2").is_err()
 
 
@@ -181,41 +181,41 @@
     mesh.delay_s = 1.0
     renewing = asyncio.ensure_future(grants.renew())
     await parts.timers.advance(0.5)
-    assert mesh.of(RenewGrants)
+    assert mesh.sent_of(RenewGrants)
     await mesh.handlers[RevokeGrant](None, RevokeGrant("engine", "g1"))
     grant.finish("r1", ended=True)
-    assert mesh.of(ReleaseGrant) == [ReleaseGrant("engine", "g1", 0)]
+    assert mesh.sent_of(ReleaseGrant) == [ReleaseGrant("engine", "g1", 0)]
     await parts.timers.advance(1.5)
     await renewing
     assert grant.ends_at == ends_at
     assert grant.start("r2").unwrap_err().kind is ErrorKind.NO_GRANT
 
 
-async def test_doubtful_end_is_not_given_back(grants, mesh, parts):
+async def test_grant_whose_end_was_not_seen_is_not_released(grants, mesh, parts):
     grant = await _get(grants)
     assert grant.start("r1").is_ok()
     grant.finish("r1")
     await mesh.handlers[RevokeGrant](None, RevokeGrant("engine", "g1"))
     await parts.timers.advance(30)
-    assert mesh.of(ReleaseGrant) == [] and mesh.of(RenewGrants) == []
+    assert mesh.sent_of(ReleaseGrant) == [] and mesh.sent_of(RenewGrants) == []
 
 
-async def test_revocation_that_overtakes_its_grant(grants, mesh):
+async def test_revocation_that_arrives_before_its_grant(grants, mesh):
     await mesh.handlers[RevokeGrant](None, RevokeGrant("engine", "g1"))
     assert (await _get(grants)).grant_id == "g2"
-    assert mesh.of(ReleaseGrant) == [ReleaseGrant("engine", "g1", 0)]
+    assert mesh.sent_of(ReleaseGrant) == [ReleaseGrant("engine", "g1", 0)]
 
 
-async def test_requests_begun_are_told(grants, mesh):
+async def test_started_requests_are_reported(grants, mesh):
     for number in range(3):
         grant = await _get(grants)
         assert grant.start(f"r{number}").is_ok()
         grant.finish(f"r{number}", ended=True)
     await grants.stop()
-    assert mesh.of(ReleaseGrant) == [ReleaseGrant("engine", "g1", 2)]
+    assert mesh.sent_of(ReleaseGrant) == [ReleaseGrant("engine", "g1", 2)]
 
 
-async def test_refusals_are_handed_on(grants, mesh):
+async def test_refusals_are_returned(grants, mesh):
     mesh.failure = Failure(ErrorKind.NO_SLOT, "full", 2.0)
     refused = await grants.acquire("engine", Assigned("tide"), wait_s=5.0)
     assert refused.unwrap_err().retry_after_s == 2.0
--- a/hawthornlead/tests/test_hot_copies.py
+++ b/hawthornlead/tests/test_hot_copies.py
@@ -19,18 +19,18 @@
 
 class _Grants:
     def __init__(self):
-        self.asked = []
+        self.requested = []
 
     async def acquire(self, target, assignment, **options):
-        self.asked.append((target, assignment.adapter, options["prefetch"]))
+        self.requested.append((target, assignment.adapter, options["prefetch"]))
         return Err(Failure(ErrorKind.NO_SLOT, "in use"))
 
 
-async def _asked(requests_per_s, seconds=20):
+async def _requested(requests_per_s, seconds=20):
     timers, grants = ManualTimerService(), _Grants()
     settings = default_settings(COPY_RATE=4.0)
     popularity = POPULARITIES["decayed"](settings=settings)
-    spares = HotCopies(
+    hot_copies = HotCopies(
         timers=timers,
         views=_Views(),
         grants=grants,
@@ -39,16 +39,16 @@
     )
     for _ in range(seconds * requests_per_s):
         popularity.observe("tide", timers.now())
-        spares.consider(FakeAssignment("tide"))
+        hot_copies.consider(FakeAssignment("tide"))
         await timers.advance(1 / requests_per_s)
-    return grants.asked
+    return grants.requested
 
 
-async def test_a_hot_adapter_gets_one_more_copy_ahead():
-    asked = await _asked(requests_per_s=40)
-    assert asked and set(asked) == {("two", "tide", True)}
-    assert len(asked) <= 20 / CHECK_INTERVAL_S + 1
+async def test_a_hot_adapter_gets_one_prefetched_copy():
+    requested = await _requested(requests_per_s=40)
+    assert requested and set(requested) == {("two", "tide", True)}
+    assert len(requested) <= 20 / CHECK_INTERVAL_S + 1
 
 
 async def test_a_cold_adapter_gets_none():
-    assert await _asked(requests_per_s=1) == []
+    assert await _requested(requests_per_s=1) == []
--- a/hawthornlead/tests/test_load_waits.py
+++ b/hawthornlead/tests/test_load_waits.py
@@ -8,8 +8,8 @@
 
 async def _world(**settings):
     world = World("ab", **settings)
-    world.give("a", ALLOWANCE)
-    world.give("a")
+    world.assign("a", ALLOWANCE)
+    world.assign("a")
     await world.advance(1.0)
     return world
 
@@ -42,18 +42,18 @@
     assert soon.result().unwrap_err().kind is ErrorKind.NO_SLOT
 
 
-async def test_a_quiet_slot_under_a_grant_counts_as_room():
+async def test_an_idle_slot_under_a_grant_counts_as_free():
     world = await _world()
     grant = await _streaming(world)
     world.engine.end("r1")
     grant.finish("r1", ended=True)
     await world.advance(1.0)
-    asked = _acquire(world, "a", "lap", slot_wait_s=0.0)
+    request = _acquire(world, "a", "lap", slot_wait_s=0.0)
     await world.advance(2.0)
-    assert asked.result().is_ok()
+    assert request.result().is_ok()
 
 
-async def test_a_load_ahead_asks_no_grant_back():
+async def test_a_prefetch_revokes_no_grant():
     """A second copy is wanted while the only slot serves.
 
     Nobody waits for the copy, so no request may lose its grant for it.
@@ -66,7 +66,7 @@
     assert (await world.acquired("b", "tide", wait_s=1.0)).is_ok()
 
 
-async def test_no_load_ahead_takes_a_free_slot_in_a_store_outage():
+async def test_no_prefetch_uses_a_free_slot_in_a_store_outage():
     """In a store outage requests for cold adapters are refused, though slots were free.
 
     A hot adapter was given spare copies during the outage. They filled the free
@@ -79,9 +79,9 @@
     prefetched = _acquire(world, "a", "buoy", prefetch=True)
     await world.advance(1.0)
     assert prefetched.result().unwrap_err().kind is ErrorKind.NO_SLOT
-    wanted = _acquire(world, "a", "lap")
+    pending = _acquire(world, "a", "lap")
     await world.advance(3.0)
-    assert wanted.result().is_ok()
+    assert pending.result().is_ok()
 
 
 async def test_a_full_target_refuses_soon_in_a_store_outage():
@@ -94,16 +94,16 @@
     await _streaming(world)
     world.degrade("a", ALLOWANCE)
     world.degrade("a")
-    wanted = _acquire(world, "a", "lap")
+    pending = _acquire(world, "a", "lap")
     await world.advance(3.0)
-    assert not wanted.done()
+    assert not pending.done()
     await world.advance(3.0)
-    refused = wanted.result().unwrap_err()
+    refused = pending.result().unwrap_err()
     assert refused.kind is ErrorKind.NO_SLOT
     assert refused.retry_after_s >= 10
 
 
-async def test_a_request_that_joins_a_load_ahead_does_not_stand_last():
+async def test_a_request_that_joins_a_prefetch_is_not_sorted_last():
     """A load ahead waits for leave, a request joins it, and others keep coming.
 
     Were the load still sorted as one that nobody waits for, all later ones would
@@ -111,14 +111,14 @@
     """
     world = await _world(LOADS_PER_S=0.4, LOADS_AT_ONCE=1)
     world.engine.slots = 2
-    told = []
+    permit_requests = []
     allowances = world.vms["a"].allowances
 
-    async def note(sender, ask: AcquireLoad):
-        told.append((ask.adapter, ask.waiting))
-        return await allowances._on_acquire(sender, ask)
+    async def record(sender, message: AcquireLoad):
+        permit_requests.append((message.adapter, message.waiting))
+        return await allowances._on_acquire(sender, message)
 
-    world.vms["a"].mesh.on(AcquireLoad, note)
+    world.vms["a"].mesh.on(AcquireLoad, record)
     (await world.acquired("b", "tide")).unwrap()
     await world.advance(0.6)
     prefetched = _acquire(world, "a", "lap", prefetch=True)
@@ -126,10 +126,10 @@
     joined = _acquire(world, "b", "lap")
     await world.advance(3.0)
     assert joined.result().is_ok() and prefetched.done()
-    assert told == [("tide", 1), ("lap", 0), ("lap", 1)]
+    assert permit_requests == [("tide", 1), ("lap", 0), ("lap", 1)]
 
 
-async def test_states_tell_loads_that_wait_for_leave():
+async def test_states_announce_loads_that_wait_for_a_permit():
     """Two VMs miss the same adapter while the weight store is busy.
 
     Were the first load told only once it runs, the second VM would place another.
@@ -140,11 +140,11 @@
     await world.advance(0.6)
     _acquire(world, "b", "lap")
     await world.advance(0.2)
-    told = world.vms["a"].targets.targets["engine"].state(0).residents
-    assert ("lap", "1", 0, True) in told and len(told) == 2
+    permit_requests = world.vms["a"].targets.targets["engine"].state(0).residents
+    assert ("lap", "1", 0, True) in permit_requests and len(permit_requests) == 2
 
 
-async def test_a_one_off_under_an_idle_grant_goes_before_a_hot_adapter():
+async def test_an_adapter_used_once_is_evicted_before_a_hot_one():
     """A one-off has just ended; its grant is kept for some seconds more.
 
     Were only slots without grants weighed, the hot adapter would be evicted, which
--- a/hawthornlead/tests/test_slot_machines.py
+++ b/hawthornlead/tests/test_slot_machines.py
@@ -63,8 +63,8 @@
 
     async def _build(self, fencing, slots):
         self.world = World(VMS, fencing=fencing, slots=slots)
-        self.world.give("a", ALLOWANCE)
-        self.world.give("a")
+        self.world.assign("a", ALLOWANCE)
+        self.world.assign("a")
         await self.world.advance(1.0)
 
     @property
@@ -195,7 +195,7 @@
 
         async def take():
             for resource in (ALLOWANCE, TARGET):
-                self.world.give(vm, resource, stopped=stopped, old_right=right)
+                self.world.assign(vm, resource, stopped=stopped, old_right=right)
             # An owner before the last that was never proved to have stopped.
             owners = self.world.vms[vm].owners
             if self._unproved(vm):
--- a/hawthornlead/tests/test_slot_takeovers.py
+++ b/hawthornlead/tests/test_slot_takeovers.py
@@ -20,9 +20,9 @@
     world = await owned_world("abc", fencing=fencing)
     grant = await streaming(world)
     world.kill("a")
-    world.give("c", ALLOWANCE, stopped=True)
-    world.give("c", stopped=True)
-    wanted = world.acquire("c", "lap", wait_s=100)
+    world.assign("c", ALLOWANCE, stopped=True)
+    world.assign("c", stopped=True)
+    pending = world.acquire("c", "lap", wait_s=100)
     await world.advance(9)
     # Its holder may begin under it until it runs out by its own clock.
     if grant.start("r2").is_ok():
@@ -32,7 +32,7 @@
     world.engine.end("r1")
     world.engine.end("r2")
     await world.advance(3)
-    assert wanted.result().is_ok() and world.engine.violations == []
+    assert pending.result().is_ok() and world.engine.violations == []
 
 
 async def test_frozen_owner_wakes_after_its_successor_loaded():
@@ -100,8 +100,8 @@
     """
     world = await owned_world("abc")
     grant = await streaming(world)
-    world.give("c", old_right=OrderRight.DEGRADED)
-    world.give("c", ALLOWANCE, old_right=OrderRight.DEGRADED)
+    world.assign("c", old_right=OrderRight.DEGRADED)
+    world.assign("c", ALLOWANCE, old_right=OrderRight.DEGRADED)
     await world.advance(5)
     world.records["target:engine"] = world.records["target:engine"]._replace(vm="a")
     grant.finish("r1", ended=True)
@@ -120,9 +120,9 @@
     world = await owned_world("abc", fencing=False)
     await streaming(world)
     world.engine.end("r1")
-    world.give("c", old_right=OrderRight.DEGRADED)
-    world.give("c", ALLOWANCE, old_right=OrderRight.DEGRADED)
-    wanted = world.acquire("c", "lap", wait_s=200)
+    world.assign("c", old_right=OrderRight.DEGRADED)
+    world.assign("c", ALLOWANCE, old_right=OrderRight.DEGRADED)
+    pending = world.acquire("c", "lap", wait_s=200)
     await world.advance(60)
     assert evictions(world) == []
     world.kill("a")
@@ -133,7 +133,7 @@
     # What the predecessor granted in its last moment has not run out yet.
     assert evictions(world) == []
     await world.advance(20)
-    assert wanted.result().is_ok() and world.engine.violations == []
+    assert pending.result().is_ok() and world.engine.violations == []
 
 
 async def test_load_that_outlives_its_owner():
@@ -149,8 +149,8 @@
     await world.advance(2)
     assert world.engine.loading == 1
     world.kill("a")
-    world.give("c", ALLOWANCE, stopped=True)
-    world.give("c", stopped=True)
+    world.assign("c", ALLOWANCE, stopped=True)
+    world.assign("c", stopped=True)
     await world.advance(10)
     assert world.vms["c"].targets.targets["engine"].ready
     world.engine.load_s = 0.2
--- a/hawthornlead/tests/test_slots.py
+++ b/hawthornlead/tests/test_slots.py
@@ -8,22 +8,22 @@
 from .fakes_worlds import World
 
 
-async def test_an_owner_tells_the_boot_id():
+async def test_an_owner_announces_the_boot_id():
     world = await owned_world()
-    told = world.vms["b"].views.view("engine").state
-    assert told.boot_id == world.engine.boot_id != ""
+    announced = world.vms["b"].views.view("engine").state
+    assert announced.boot_id == world.engine.boot_id != ""
 
 
 async def test_loads_once_for_many_requests():
     world = await owned_world()
-    asked = [world.acquire(vm, "tide") for vm in "abab"]
+    request = [world.acquire(vm, "tide") for vm in "abab"]
     await world.advance(2.0)
-    assert all(task.result().is_ok() for task in asked)
+    assert all(task.result().is_ok() for task in request)
     assert len(world.engine.loads) == 1
-    assert asked[0].result().unwrap().loaded_s > 0
+    assert request[0].result().unwrap().loaded_s > 0
 
 
-async def test_newcomer_knows_the_targets_at_once():
+async def test_new_vm_receives_target_states_at_once():
     """A VM starts, joins, and a caller asks it in its first second.
 
     The owner told the target's state before the VM had joined, and nothing has
@@ -31,7 +31,7 @@
     """
     world = World()
     world.cuts.add(frozenset("ab"))
-    world.give("a")
+    world.assign("a")
     await world.advance(1.0)
     assert world.vms["b"].views.view("engine").state is None
     world.cuts.clear()
@@ -39,7 +39,7 @@
     assert world.vms["b"].views.view("engine").state is not None
 
 
-async def test_eviction_wanted_while_a_stream_runs():
+async def test_eviction_waits_for_a_running_stream():
     """A caller streams a long ruling while another adapter is wanted.
 
     With one slot the second must wait: evicting now would break the stream. The
@@ -47,13 +47,13 @@
     """
     world = await owned_world()
     grant = await streaming(world)
-    wanted = world.acquire("a", "lap", wait_s=60)
+    pending = world.acquire("a", "lap", wait_s=60)
     await world.advance(25)
-    assert not wanted.done() and evictions(world) == []
+    assert not pending.done() and evictions(world) == []
     assert world.engine.end("r1")
     grant.finish("r1", ended=True)
     await world.advance(1.0)
-    assert wanted.result().is_ok()
+    assert pending.result().is_ok()
     assert world.engine.violations == []
 
 
@@ -72,12 +72,12 @@
         world.freeze("b")
     else:
         world.cuts.add(frozenset("ab"))
-    wanted = world.acquire("a", "lap", wait_s=100)
+    pending = world.acquire("a", "lap", wait_s=100)
     await world.advance(40)
-    assert not wanted.done() and evictions(world) == []
+    assert not pending.done() and evictions(world) == []
     assert world.engine.end("r1")
     await world.advance(3)
-    assert wanted.result().is_ok() and world.engine.violations == []
+    assert pending.result().is_ok() and world.engine.violations == []
     if loss == "frozen":
         await world.thaw("b")
     if loss != "dead":
@@ -94,12 +94,12 @@
     world = await owned_world()
     grant = await streaming(world)
     grant.finish("r1")
-    wanted = world.acquire("a", "lap", wait_s=60)
+    pending = world.acquire("a", "lap", wait_s=60)
     await world.advance(20)
-    assert not wanted.done()
+    assert not pending.done()
     assert world.engine.end("r1")
     await world.advance(2)
-    assert wanted.result().is_ok() and world.engine.violations == []
+    assert pending.result().is_ok() and world.engine.violations == []
 
 
 async def test_report_that_lags_proves_nothing_of_later():
@@ -114,12 +114,12 @@
     await world.advance(2.5)
     assert world.send("b", grant, "tide", "r1")
     world.kill("b")
-    wanted = world.acquire("a", "lap", wait_s=60)
+    pending = world.acquire("a", "lap", wait_s=60)
     await world.advance(20)
-    assert not wanted.done() and world.engine.violations == []
+    assert not pending.done() and world.engine.violations == []
     world.engine.end("r1")
     await world.advance(8)
-    assert wanted.result().is_ok()
+    assert pending.result().is_ok()
 
 
 async def test_cold_restart_reloads_only_on_demand():
@@ -140,7 +140,7 @@
     assert len(world.engine.loads) == 3
 
 
-async def test_failed_load_frees_its_share_and_is_not_tried_at_once():
+async def test_failed_load_frees_its_permit_and_is_not_retried_at_once():
     """A load fails partway.
 
     Its requests are told; its slot and its share of the weight store are free for
@@ -168,20 +168,20 @@
     await world.advance(4)
     world.engine.report_lag_s = 5.0
     world.engine.lose_replies = 1
-    wanted = world.acquire("a", "lap", wait_s=60)
+    pending = world.acquire("a", "lap", wait_s=60)
     await world.advance(1)
     assert world.engine.residents == set()
-    asked = world.acquire("b", "tide", wait_s=5, load=False)
+    request = world.acquire("b", "tide", wait_s=5, load=False)
     await world.advance(0.2)
-    assert asked.result().is_err()
+    assert request.result().is_err()
     await world.advance(20)
-    assert wanted.done() and world.engine.violations == []
+    assert pending.done() and world.engine.violations == []
     assert (await world.acquired("b", "lap", wait_s=30)).is_ok()
 
 
 @pytest.mark.parametrize("fencing", [True, False])
 @pytest.mark.parametrize("restart", [False, True])
-async def test_eviction_that_lands_after_its_timeout(fencing, restart):
+async def test_eviction_that_takes_effect_after_its_timeout(fencing, restart):
     """An eviction is written just before its timeout, and its sender gives up.
 
     It lands five seconds later. The report shows the adapter resident all the time,
@@ -192,21 +192,21 @@
     await world.acquired("b", "tide")
     await world.advance(4)
     world.vms["a"].client.late_evict = (7.5, 5.0)
-    wanted = world.acquire("a", "lap", wait_s=15)
+    pending = world.acquire("a", "lap", wait_s=15)
     await world.advance(6.5)
     if restart:
         world.engine.restart()
     await world.advance(2)
-    asked = world.acquire("b", "tide", wait_s=40)
+    request = world.acquire("b", "tide", wait_s=40)
     for _ in range(600):
-        if asked.done():
+        if request.done():
             break
         await world.advance(0.1)
-    grant = asked.result().unwrap()
+    grant = request.result().unwrap()
     assert world.send("b", grant, "tide", "r1")
     await world.advance(20)
     assert world.engine.end("r1") and world.engine.violations == []
-    assert wanted.done()
+    assert pending.done()
 
 
 async def test_each_request_counts_once_for_its_owner():
@@ -254,7 +254,7 @@
     assert waiting.result().unwrap_err().kind is ErrorKind.TARGET_REFUSED
 
 
-async def test_silent_target_is_told_and_refused():
+async def test_silent_target_is_announced_and_refused():
     world = await owned_world()
     await world.acquired("b", "tide")
     assert world.vms["b"].views.view("engine").state.residents
@@ -268,7 +268,7 @@
     assert (await world.acquired("b", "tide")).is_ok()
 
 
-async def test_load_that_cannot_be_made_in_time_is_refused_at_once():
+async def test_load_that_would_end_too_late_is_refused_at_once():
     world = await owned_world(LOADS_PER_S=0.5, LOADS_AT_ONCE=1)
     task = world.acquire("b", "tide", wait_s=0.3)
     await world.advance(0.1)
--- a/hawthornlead/tests/test_slots_joined.py
+++ b/hawthornlead/tests/test_slots_joined.py
@@ -43,10 +43,10 @@
 
 async def _resident(fleet, adapter="tide"):
     """Have an adapter loaded, and its grant given back again."""
-    asked = fleet.acquire(fleet.others()[0], adapter)
-    await fleet.until(asked.done)
-    assert asked.result().is_ok()
-    del asked
+    request = fleet.acquire(fleet.others()[0], adapter)
+    await fleet.until(request.done)
+    assert request.result().is_ok()
+    del request
     await fleet.advance(8)
 
 
@@ -60,25 +60,25 @@
     """
     fleet = await build(fencing=fencing, slots=1)
     owner, (holder, other) = fleet.owner(), fleet.others()
-    asked = fleet.acquire(holder, "tide")
+    request = fleet.acquire(holder, "tide")
     late = fleet.acquire(holder, "tide")
-    await fleet.until(lambda: asked.done() and late.done())
-    stream = fleet.send(holder, asked.result().unwrap(), "tide", "r1", 500)
+    await fleet.until(lambda: request.done() and late.done())
+    stream = fleet.send(holder, request.result().unwrap(), "tide", "r1", 500)
     await fleet.advance(1)
     await fleet.kill(owner)
     await fleet.until(lambda: fleet.owner() is not None)
-    wanted = fleet.acquire(other, "lap")
-    last = late.result().unwrap()
-    await fleet.until(lambda: holder.timers.now() > last.ends_at - 0.25)
-    second = fleet.send(holder, last, "tide", "r2", 300)
+    pending = fleet.acquire(other, "lap")
+    last_grant = late.result().unwrap()
+    await fleet.until(lambda: holder.timers.now() > last_grant.ends_at - 0.25)
+    second = fleet.send(holder, last_grant, "tide", "r2", 300)
     await fleet.until(lambda: stream.done() and second.done())
     fleet.check()
     for _ in range(5):
-        await fleet.until(wanted.done)
-        if wanted.result().is_ok():
+        await fleet.until(pending.done)
+        if pending.result().is_ok():
             break
-        wanted = fleet.acquire(other, "lap")
-    assert wanted.result().is_ok()
+        pending = fleet.acquire(other, "lap")
+    assert pending.result().is_ok()
     fleet.check()
     outcomes = {run["id"]: run["outcome"] for run in fleet.engine.record()["runs"]}
     assert outcomes == {"r1": "done", "r2": "done"}
@@ -97,7 +97,7 @@
     owner, (holder, _) = fleet.owner(), fleet.others()
     await _resident(fleet)
     fleet.engine.set_faults(order_delay_s=7.0)
-    wanted = fleet.acquire(owner, "lap")
+    pending = fleet.acquire(owner, "lap")
     orders = fleet.engine.book.orders
     await fleet.until(lambda: orders and orders[-1]["op"] == "evict")
     eviction = orders[-1]
@@ -106,17 +106,17 @@
         await fleet.kill(owner)
     else:
         await fleet.shut_down(owner)
-    wanted.cancel()
+    pending.cancel()
     streams = []
     for number in range(60):
         if "ended" in eviction:
             break
-        asked = fleet.acquire(holder, "tide", 2.0, load=False)
-        await fleet.until(asked.done)
-        if asked.result().is_err():
+        request = fleet.acquire(holder, "tide", 2.0, load=False)
+        await fleet.until(request.done)
+        if request.result().is_err():
             await fleet.advance(0.5)
             continue
-        grant = asked.result().ok_value
+        grant = request.result().ok_value
         streams.append(fleet.send(holder, grant, "tide", f"r{number}", 100))
         await fleet.advance(2)
     await fleet.until(lambda: all(stream.done() for stream in streams))
@@ -139,22 +139,22 @@
         names, weights=weights, settings=settings, fencing=True, slots=8
     )
     holder = fleet.owner(ALLOWANCE)
-    asking = [vm for vm in fleet.vms.values() if vm is not holder][0]
-    wanted = {(name, f"adapter-{n}") for name in names for n in range(2)}
+    requester = [vm for vm in fleet.vms.values() if vm is not holder][0]
+    pending = {(name, f"adapter-{n}") for name in names for n in range(2)}
     tasks = {}
 
-    def ask():
-        for target, adapter in wanted:
+    def request_missing():
+        for target, adapter in pending:
             task = tasks.get((target, adapter))
             if task is None or (task.done() and task.result().is_err()):
-                tasks[target, adapter] = fleet.acquire(asking, adapter, 15.0, target)
+                tasks[target, adapter] = fleet.acquire(requester, adapter, 15.0, target)
 
-    ask()
+    request_missing()
     await fleet.until(lambda: fleet.weights.open == 2)
     await fleet.kill(holder)
     for _ in range(120):
         await fleet.advance(1)
-        ask()
+        request_missing()
         if all(task.done() and task.result().is_ok() for task in tasks.values()):
             break
     record = fleet.weights.record()
--- a/hawthornlead/tests/test_suspect_reservations.py
+++ b/hawthornlead/tests/test_suspect_reservations.py
@@ -17,45 +17,45 @@
 async def world():
     timers = ManualTimerService()
     network = LocalNetwork(timers)
-    places = {}
+    reservations = {}
     for vm in ("vm-1", "vm-2", "vm-3"):
-        places[vm] = SuspectReservations(
+        reservations[vm] = SuspectReservations(
             timers=timers, mesh=network.join(vm, "dc1", vm)
         )
-    return SimpleNamespace(timers=timers, network=network, places=places)
+    return SimpleNamespace(timers=timers, network=network, reservations=reservations)
 
 
-async def test_two_suspects_of_two_vms_never_meet_on_a_target(world):
+async def test_two_suspects_of_two_vms_never_run_on_one_target(world):
     """An innocent request is refused for ten minutes.
 
     It was beside the guilty one at a target's death, and both are sent again at
     once through two VMs, which know only of their own, to the same next target.
     """
-    assert (await world.places["vm-2"].reserve(VIEW, "guilty", 60)).is_ok()
-    refused = await world.places["vm-3"].reserve(VIEW, "innocent", 60)
+    assert (await world.reservations["vm-2"].reserve(VIEW, "guilty", 60)).is_ok()
+    refused = await world.reservations["vm-3"].reserve(VIEW, "innocent", 60)
     assert refused.unwrap_err().kind is ErrorKind.NO_GRANT
-    world.places["vm-2"].release(VIEW, "guilty")
+    world.reservations["vm-2"].release(VIEW, "guilty")
     await world.timers.advance(0)
-    assert (await world.places["vm-3"].reserve(VIEW, "innocent", 60)).is_ok()
+    assert (await world.reservations["vm-3"].reserve(VIEW, "innocent", 60)).is_ok()
 
 
-async def test_a_place_of_a_vm_that_died_runs_out(world):
-    assert (await world.places["vm-2"].reserve(VIEW, "guilty", 5)).is_ok()
+async def test_a_reservation_of_a_dead_vm_expires(world):
+    assert (await world.reservations["vm-2"].reserve(VIEW, "guilty", 5)).is_ok()
     await world.timers.advance(4)
-    assert (await world.places["vm-3"].reserve(VIEW, "innocent", 5)).is_err()
+    assert (await world.reservations["vm-3"].reserve(VIEW, "innocent", 5)).is_err()
     await world.timers.advance(1.1)
-    assert (await world.places["vm-3"].reserve(VIEW, "innocent", 5)).is_ok()
+    assert (await world.reservations["vm-3"].reserve(VIEW, "innocent", 5)).is_ok()
 
 
-async def test_a_late_return_does_not_free_the_next_ones_place(world):
-    assert (await world.places["vm-2"].reserve(VIEW, "guilty", 5)).is_ok()
+async def test_a_late_release_does_not_end_the_next_reservation(world):
+    assert (await world.reservations["vm-2"].reserve(VIEW, "guilty", 5)).is_ok()
     await world.timers.advance(6)
-    assert (await world.places["vm-3"].reserve(VIEW, "innocent", 60)).is_ok()
-    world.places["vm-2"].release(VIEW, "guilty")
+    assert (await world.reservations["vm-3"].reserve(VIEW, "innocent", 60)).is_ok()
+    world.reservations["vm-2"].release(VIEW, "guilty")
     await world.timers.advance(0)
-    assert (await world.places["vm-1"].reserve(VIEW, "third", 60)).is_err()
+    assert (await world.reservations["vm-1"].reserve(VIEW, "third", 60)).is_err()
 
 
-async def test_no_place_without_an_owner(world):
-    refused = await world.places["vm-2"].reserve(OWNERLESS, "guilty", 5)
+async def test_no_reservation_without_an_owner(world):
+    refused = await world.reservations["vm-2"].reserve(OWNERLESS, "guilty", 5)
     assert refused.unwrap_err().kind is ErrorKind.NO_GRANT
--- a/hawthornlead/tests/test_target_deaths.py
+++ b/hawthornlead/tests/test_target_deaths.py
@@ -29,7 +29,7 @@
 
     def __init__(self):
         self.timers = ManualTimerService()
-        self.told = []
+        self.announced = []
         self.health_answer = Err(REFUSED)
         events = EventRing("vm-1", HybridClock(self.timers))
         self.suspects = Suspects(
@@ -41,7 +41,7 @@
 
     def broadcast(self, message):
         """Note what all VMs are told."""
-        self.told.append(message)
+        self.announced.append(message)
 
     def cast(self, vm, message):
         """Tell the target's owner."""
@@ -60,37 +60,37 @@
     return Site()
 
 
-async def test_a_target_that_came_back_before_the_test_has_died(site):
+async def test_a_target_that_restarted_before_the_check_has_died(site):
     """A request crashes its target, which is back before this VM looks.
 
     Another attempt has met the new start already. Held against the newest boot id
     the target looks well, and the request goes on to crash the next one.
     """
-    bad = site.deaths.record_start(view("boot-1"), "r1.1", b"bad")
+    suspect_attempt = site.deaths.record_start(view("boot-1"), "r1.1", b"bad")
     site.deaths.record_start(view("boot-1"), "r2.1", b"beside")
     site.deaths.record_start(view("boot-2"), "r3.1", b"later")
     site.deaths.record_end("t1", "r1.1")
     site.health_answer = Ok(Health("boot-2", 0.0))
-    await site.deaths.check(view("boot-2"), bad, LOST)
-    assert site.told == [CrashSuspects("t1", "boot-1", (b"bad", b"beside"))]
+    await site.deaths.check(view("boot-2"), suspect_attempt, LOST)
+    assert site.announced == [CrashSuspects("t1", "boot-1", (b"bad", b"beside"))]
     assert not site.suspects.is_suspect(b"later")
 
 
-async def test_a_death_has_one_name_on_all_vms(site):
+async def test_a_death_has_the_same_id_on_all_vms(site):
     """Two VMs lose requests on one target; a crash counted twice convicts at once.
 
     The boot id that the owner tells names the death alike on both.
     """
-    bad = site.deaths.record_start(view("boot-1"), "r1.1", b"bad")
+    suspect_attempt = site.deaths.record_start(view("boot-1"), "r1.1", b"bad")
     site.suspects.record_death("t1", "boot-1", [b"bad"])
-    await site.deaths.check(view("boot-1"), bad, LOST)
-    assert site.told[0].boot_id == "boot-1"
+    await site.deaths.check(view("boot-1"), suspect_attempt, LOST)
+    assert site.announced[0].boot_id == "boot-1"
     assert site.suspects.check(b"bad").is_ok()
 
 
-async def test_a_broken_stream_of_a_living_target_accuses_nobody(site):
-    alive = site.deaths.record_start(view("boot-1"), "r1.1", b"a")
+async def test_a_broken_stream_of_a_live_target_makes_no_suspects(site):
+    attempt = site.deaths.record_start(view("boot-1"), "r1.1", b"a")
     site.health_answer = Ok(Health("boot-1", 0.0))
-    await site.deaths.check(view("boot-1"), alive, LOST)
-    assert site.told == []
+    await site.deaths.check(view("boot-1"), attempt, LOST)
+    assert site.announced == []
     assert site.deaths.running_fingerprints("t1") == (b"a",)
--- a/hawthornlead/tests/test_target_owners.py
+++ b/hawthornlead/tests/test_target_owners.py
@@ -3,14 +3,14 @@
 from hawthornlead.tests.fakes_worlds import World
 
 
-async def test_a_vm_that_joins_is_told_of_all_targets_at_once():
+async def test_a_joining_vm_receives_all_target_states_at_once():
     """The first requests at a VM just started are refused "no target serves base".
 
     An owner tells a target's state; then a VM joins. Without a change the owner
     tells again only seconds later, and until then the VM knows of no usable target.
     """
     world = World("a")
-    world.give("a")
+    world.assign("a")
     await world.advance(1)
     world.join("b")
     await world.advance(0.3)
--- a/hawthornlead/tests/test_targets.py
+++ b/hawthornlead/tests/test_targets.py
@@ -25,12 +25,12 @@
 
 
 async def _engine(answer):
-    got = []
-    app = Application([("/.*", _Orders)], got=got, answer=answer)
+    bodies = []
+    app = Application([("/.*", _Orders)], bodies=bodies, answer=answer)
     sock, port = bind_unused_port()
     server = HTTPServer(app)
     server.add_socket(sock)
-    return TargetClient(f"127.0.0.1:{port}", rng=random.Random(1)), server, got
+    return TargetClient(f"127.0.0.1:{port}", rng=random.Random(1)), server, bodies
 
 
 async def _order(client, timeout_s=2.0, still_allowed=lambda: True):
@@ -40,16 +40,16 @@
 
 
 async def test_order_carried_out():
-    client, server, got = await _engine(
+    client, server, bodies = await _engine(
         (200, {"ok": True, "now": 7.5, "boot_id": "b"}, 0)
     )
     reply = (await _order(client)).unwrap()
     assert (reply.now, reply.boot_id) == (7.5, "b")
-    assert b'"fence": 3' in got[0]
+    assert b'"fence": 3' in bodies[0]
     server.stop()
 
 
-async def test_refusals_are_told_apart():
+async def test_refusals_are_distinguished():
     for status, name, kind in (
         (409, "stale-fence", ErrorKind.STALE_FENCE),
         (409, "no-free-slot", ErrorKind.NO_SLOT),
@@ -76,9 +76,9 @@
     Told as 'not carried out', an evict that did happen would leave the owner
     granting an adapter that is gone. The order was received: it may have happened.
     """
-    client, server, got = await _engine((200, {}, 5))
+    client, server, bodies = await _engine((200, {}, 5))
     assert (await _order(client, 0.2)).unwrap_err().kind is ErrorKind.TARGET_LOST
-    assert len(got) == 1
+    assert len(bodies) == 1
     server.stop()
 
 
@@ -95,10 +95,10 @@
     Its right was checked before the order; by the time the bytes go out a
     successor may have evicted. The right is checked again before the body.
     """
-    client, server, got = await _engine((200, {"ok": True}, 0))
+    client, server, bodies = await _engine((200, {"ok": True}, 0))
     refused = await _order(client, still_allowed=lambda: False)
     assert refused.unwrap_err().kind is ErrorKind.NO_GRANT
-    assert got == []
+    assert bodies == []
     server.stop()
 
 
@@ -123,8 +123,8 @@
     assert report.residents == (Resident("tide", "1", 0),) and report.slots == 1
     assert report.as_of >= health.now
     assert (await client.order(Order.EVICT, 3, "tide", "1", "", 2.0)).is_ok()
-    gone = await client.order(Order.EVICT, 3, "tide", "1", "", 2.0)
-    assert gone.unwrap_err().kind is ErrorKind.NOT_FOUND
+    missing = await client.order(Order.EVICT, 3, "tide", "1", "", 2.0)
+    assert missing.unwrap_err().kind is ErrorKind.NOT_FOUND
     engine.set_faults(fail_loads=1)
     assert (await _order(client)).unwrap_err().kind is ErrorKind.LOAD_FAILED
     assert (await client.cancel("unknown")).is_ok()
