--- a/hawthornlead/tests/fakes_engines.py
+++ b/hawthornlead/tests/fakes_engines.py
@@ -1,4 +1,4 @@
-"""A target in process, whose own record judges what was done to it."""
+"""A target in the test process, with a record that shows wrong evictions."""
 
 import asyncio
 from collections import deque
@@ -14,8 +14,8 @@
 class FakeEngine:
     """Slots and runs of a model engine, on the world's clock plus an offset.
 
-    ``violations`` is the judge: an eviction under a running request. ``loading``
-    and ``most_loading`` tell how many loads there were at once.
+    ``violations`` lists evictions under a running request. ``loading`` is the number
+    of running loads.
     """
 
     def __init__(self, timers, *, slots=1, fencing=True, load_s=0.2):
@@ -41,15 +41,15 @@
 
     @property
     def boot_id(self):
-        """The present start."""
+        """The boot id of the current incarnation."""
         return f"boot-{self.boots}"
 
     def now(self):
-        """The engine's own clock, which begins anew with each start."""
+        """The engine's own clock, which restarts with each incarnation."""
         return self.timers.now() - self._started_at
 
     def snapshot(self):
-        """Note the state for reports that lag."""
+        """Record the state for reports that lag."""
         residents = []
         for key in sorted(self.residents):
             running = list(self.running.values()).count(key)
@@ -58,7 +58,7 @@
         self._snapshots.append(state)
 
     def start(self, request_id, key):
-        """Begin a request; False is a refusal that promises that nothing ran."""
+        """Start a request; False is a refusal, so nothing ran."""
         if self.down or key not in self.residents:
             return False
         self.running[request_id] = key
@@ -66,13 +66,13 @@
         return True
 
     def end(self, request_id):
-        """End a request; False when it was broken before."""
+        """End a request; False if an eviction broke it before."""
         ended = self.running.pop(request_id, None) is not None
         self.snapshot()
         return ended
 
     def restart(self):
-        """Start anew, with empty slots and no memory of fences."""
+        """Restart with empty slots and no fencing number."""
         self.boots += 1
         self._started_at = self.timers.now()
         self.highest_fence = 0
@@ -139,9 +139,9 @@
 class FakeTargetClient:
     """One VM's client of a ``FakeEngine``.
 
-    ``awake`` is awaited before bytes leave and after an answer came, so that a
-    frozen VM neither sends nor hears. ``freeze_before_check`` is awaited while it
-    connects, ``freeze_after_check`` between the last look at the right and the write.
+    ``awake`` is awaited before bytes are sent and after an answer came, so that a
+    frozen VM neither sends nor receives. ``freeze_before_check`` is awaited while it
+    connects, ``freeze_after_check`` between the last check of the right and the write.
     """
 
     def __init__(self, engine, awake):
@@ -149,8 +149,8 @@
         self._awake = awake
         self.freeze_before_check = None
         self.freeze_after_check = None
-        # Seconds that the next eviction takes to be written, and then to land; its
-        # sender gives up at its timeout.
+        # Seconds until the next eviction is written, and then until it takes effect;
+        # its sender abandons it at its timeout.
         self.late_evict: tuple[float, float] | None = None
         self._late: set[asyncio.Task] = set()
         self.cut = False
@@ -158,7 +158,7 @@
     async def order(
         self, op, fence, adapter, version, base_model, timeout_s, still_allowed
     ):
-        """Give one order."""
+        """Send one order."""
         await self._awake()
         if self.cut or self._engine.down:
             return Err(Failure(ErrorKind.TARGET_UNREACHABLE, "down"))
--- a/hawthornlead/tests/fakes_exchanges.py
+++ b/hawthornlead/tests/fakes_exchanges.py
@@ -1,4 +1,4 @@
-"""Connections to targets that answer what a test says, for the paths of requests."""
+"""Fake connections to targets that give the answer a test sets."""
 
 from result import Err, Ok
 from tornado.httputil import HTTPHeaders
@@ -8,7 +8,7 @@
 
 
 class FakeExchange:
-    """One exchange: notes what was sent and hands on an answer in chunks."""
+    """One exchange: records what was sent and returns an answer in chunks."""
 
     def __init__(self, connections):
         self._connections = connections
@@ -16,7 +16,7 @@
         self.closed = False
 
     async def send(self, method, path, headers, body, on_data, head_timeout_s):
-        """Note the request and hand on the answer."""
+        """Record the request and pass the answer to ``on_data``."""
         self._connections.sent.append(path)
         status, chunks = self._connections.answer
         self.head = ResponseHead(status, HTTPHeaders({"Content-Type": "text/plain"}))
@@ -32,7 +32,7 @@
         return Ok(None)
 
     def release(self):
-        """Give the connection back."""
+        """Release the connection."""
 
     def close(self):
         """Close the connection."""
--- a/hawthornlead/tests/fakes_joined.py
+++ b/hawthornlead/tests/fakes_joined.py
@@ -1,7 +1,7 @@
-"""Three VMs' real owners, slots and grants before targets that are stand-ins.
+"""Three VMs with real owners, slots and grants, and stand-ins as targets.
 
-Leases, owners, target owners, allowances and grants work over the mesh's codec and a
-store in memory, and give their orders over HTTP. All clocks are moved by hand.
+Leases, owners, target owners, allowances and grants use the mesh's codec and a store in
+memory, and send their orders over HTTP. All clocks are manual.
 """
 
 import asyncio
@@ -33,12 +33,12 @@
 from .fakes_worlds import TARGET, Assigned, VmTimers
 
 STEP_S = 0.1
-# Real time that the sockets get for each step of the clocks.
+# Real time for the sockets at each step of the clocks.
 SOCKETS_S = 0.002
 
 
 class Timers(VmTimers):
-    """Timers that call back in tasks: a call may wait for what the clock brings."""
+    """Timers that call back in tasks, since a call may wait for the clock."""
 
     def after(self, delay, callback, name):
         """Call back once."""
@@ -120,7 +120,7 @@
         self.targets.start()
 
     async def stop(self):
-        """Run no more."""
+        """Stop the VM's parts."""
         self.alive = False
         for part in reversed(self._parts):
             await part.stop()
@@ -131,7 +131,7 @@
 
     def __init__(self, timers, engines, weights=None, **settings):
         self.settings = {"LOADS_PER_S": 50.0, **settings}
-        # The clock of the network and the targets; each VM has one of its own.
+        # The clock of the network and the targets; each VM has its own.
         self.timers = timers
         self.weights = weights
         self.network = LocalNetwork(self.timers)
@@ -168,7 +168,7 @@
         return [vm for vm in self.vms.values() if vm.alive and vm is not owner]
 
     async def advance(self, seconds):
-        """Move all clocks on."""
+        """Advance all clocks."""
         for _ in range(round(seconds / STEP_S)):
             await self.timers.advance(STEP_S)
             for vm in self.vms.values():
@@ -177,7 +177,7 @@
             await asyncio.sleep(SOCKETS_S)
 
     async def until(self, condition, seconds=60):
-        """Move all clocks on until something holds."""
+        """Advance all clocks until ``condition`` is true."""
         for _ in range(round(seconds / STEP_S)):
             if condition():
                 return
@@ -185,7 +185,7 @@
         assert condition()
 
     def acquire(self, vm, adapter, wait_s=90.0, target="engine", load=True):
-        """Ask for a grant in a task."""
+        """Acquire a grant in a task."""
         acquiring = vm.grants.acquire(target, Assigned(adapter), wait_s, load)
         return asyncio.get_running_loop().create_task(acquiring)
 
@@ -208,7 +208,7 @@
         return asyncio.get_running_loop().create_task(self.stream(*args))
 
     async def kill(self, vm):
-        """End a VM's process without a word; its port refuses from now on."""
+        """Kill a VM's process; its port refuses connections from now on."""
         self.network.leave(vm.name)
         await vm.stop()
 
@@ -228,6 +228,6 @@
                 await vm.stop()
 
     def check(self):
-        """Nothing was evicted while it ran, by the targets' own records."""
+        """Check that the targets' records show no eviction under a running request."""
         for engine in self.engines.values():
             assert engine.record()["violations"] == []
--- a/hawthornlead/tests/fakes_takeovers.py
+++ b/hawthornlead/tests/fakes_takeovers.py
@@ -1,4 +1,4 @@
-"""Scenes that several tests of a target's owners begin with."""
+"""Initial situations shared by several tests of a target's owners."""
 
 import asyncio
 
@@ -24,7 +24,11 @@
 
 
 async def freeze_at(world, place):
-    """Freeze owner ``a`` in an eviction, let ``c`` succeed it; return its waking."""
+    """Freeze owner ``a`` in an eviction and let ``c`` succeed it.
+
+    ``place`` names the point of the client at which it freezes. The returned event
+    wakes it.
+    """
     woken = asyncio.Event()
 
     async def freeze(op):
--- a/hawthornlead/tests/fakes_targets.py
+++ b/hawthornlead/tests/fakes_targets.py
@@ -9,7 +9,7 @@
 
 
 def make_parts(**settings) -> CoreParts:
-    """Build collaborators on a clock that is moved by hand."""
+    """Build the core parts on a manual clock."""
     named = default_settings(**{"VM_NAME": "vm-1", **settings})
     return build_core(named, Random(1), ManualTimerService())
 
@@ -54,7 +54,7 @@
         self.subscribers.append(callback)
 
     def changed(self):
-        """Tell the subscribers."""
+        """Notify the subscribers."""
         for callback in self.subscribers:
             callback()
 
--- a/hawthornlead/tests/fakes_worlds.py
+++ b/hawthornlead/tests/fakes_worlds.py
@@ -1,7 +1,7 @@
-"""A few VMs with one target in one process, on clocks that are moved by hand.
+"""A few VMs with one target in one process, on manual clocks.
 
-VMs can be frozen (their tasks neither send nor hear, and wake with the clock far
-on), killed, and cut from one another; ownership is handed over by the test.
+VMs can be frozen (their tasks neither send nor receive, and their clock jumps when they
+wake), killed, and cut off from each other. The test assigns ownership.
 """
 
 import asyncio
@@ -48,7 +48,7 @@
 
 
 class FakeOwnership(NamedTuple):
-    """A resource that a VM owns."""
+    """One VM's ownership of a resource."""
 
     resource: str
     fence: int
@@ -76,17 +76,17 @@
         self.lost_callbacks = []
 
     def request(self, resource, data_centre):
-        """Take nothing by itself."""
+        """Do nothing; the test assigns ownership."""
 
     def withdraw(self, resource):
-        """Give nothing back by itself."""
+        """Do nothing; the test assigns ownership."""
 
     def on_taken(self, callback):
         """Call back with ownerships."""
         self.taken_callbacks.append(callback)
 
     def set_open_order_check(self, has_open_order):
-        """Give nothing back by itself."""
+        """Do nothing; this fake never releases a resource by itself."""
 
     def on_lost(self, callback):
         """Call back with resources."""
@@ -108,7 +108,7 @@
 
 
 class FakeMesh:
-    """One VM's mesh; the world carries its messages."""
+    """One VM's mesh; the world delivers its messages."""
 
     def __init__(self, world, vm):
         self._world = world
@@ -126,7 +126,7 @@
         return self._world.connected(self.vm)
 
     def on(self, message_type, handler):
-        """Enter a handler."""
+        """Set the handler of a message type."""
         self.handlers[message_type] = handler
 
     async def answer(self, sender, message):
@@ -150,14 +150,14 @@
 
 
 class VmTimers(ManualTimerService):
-    """Timers whose periodic calls run in tasks of their own.
+    """Timers whose periodic calls run in their own tasks.
 
-    A renewal waits for the reply of a frozen VM until its timeout; were the clock
-    to wait for the renewal, that timeout would never come.
+    A renewal waits for the reply of a frozen VM until its timeout. If the clock waited
+    for the renewal, that timeout would never come.
     """
 
     def every(self, interval, callback, name):
-        """Call back every ``interval`` seconds, never two at once."""
+        """Call back every ``interval`` seconds, unless the last call still runs."""
         running = []
 
         def call():
@@ -258,7 +258,7 @@
         )
 
     async def deliver(self, sender, vm, message, timeout_s):
-        """Carry a message there and its reply back."""
+        """Deliver a message and return its reply."""
         unavailable = Err(Failure(ErrorKind.PEER_UNAVAILABLE, f"{vm} is away"))
         source, other = self.vms[sender], self.vms[vm]
         await source.awake.wait()
@@ -287,7 +287,7 @@
         return Ok(reply)
 
     def assign(self, vm, resource=TARGET, *, stopped=False, old_right=OrderRight.NONE):
-        """Let ``vm`` take a resource; ``old_right`` is what its predecessor believes.
+        """Let ``vm`` own a resource; its predecessor keeps ``old_right``.
 
         ``stopped`` says that the predecessor is proved to have stopped.
         """
@@ -306,7 +306,7 @@
         self.records[resource] = FakeOwnerRecord(vm, vm, fence)
         new_owner = self.vms[vm]
         now = new_owner.timers.now()
-        # As real owners do, it waits out the orders of its predecessor.
+        # Like real owners, it waits for the end of its predecessor's orders.
         predecessor_orders_end_at = (
             now + self.settings["ORDER_S"] * 1.03 if before else now
         )
@@ -324,11 +324,11 @@
             callback(ownership)
 
     def degrade(self, vm, resource=TARGET):
-        """Let the lease of an owner lapse, unknown whether others see it too."""
+        """Let the lease of an owner lapse in an outage."""
         self.vms[vm].owners.rights[resource] = OrderRight.DEGRADED
 
     async def advance(self, seconds):
-        """Move all clocks on; a frozen VM's stands until it wakes."""
+        """Advance all clocks but those of frozen VMs."""
         for _ in range(round(seconds / STEP_S)):
             await self.timers.advance(STEP_S)
             for vm in self.vms.values():
@@ -341,7 +341,7 @@
         self.vms[vm].awake.clear()
 
     async def thaw(self, vm):
-        """Wake a VM: its clock is right at once, then its timers run."""
+        """Wake a VM: set its clock, then run its timers."""
         woken = self.vms[vm]
         woken.timers._now = self.timers.now()
         woken.awake.set()
@@ -353,12 +353,12 @@
         self.vms[vm].awake.clear()
 
     def acquire(self, vm, adapter, wait_s=60.0, load=True):
-        """Ask for a grant in a task."""
+        """Acquire a grant in a task."""
         grants = self.vms[vm].grants
         return self.spawn(grants.acquire("engine", Assigned(adapter), wait_s, load))
 
     async def acquired(self, vm, adapter, wait_s=60.0, load=True):
-        """Ask for a grant and move time until it is there or refused."""
+        """Acquire a grant and advance time until it is issued or refused."""
         task = self.acquire(vm, adapter, wait_s, load)
         for _ in range(round(wait_s / STEP_S) + 60):
             if task.done():
@@ -367,7 +367,7 @@
         return task.result()
 
     def send(self, vm, grant, adapter, request_id):
-        """Begin an attempt and send it; True when it runs."""
+        """Start an attempt and send it; True when it runs."""
         if grant.start(request_id).is_err():
             return False
         if self.engine.start(request_id, _key(adapter)):
--- a/hawthornlead/tests/test_allowances.py
+++ b/hawthornlead/tests/test_allowances.py
@@ -1,4 +1,4 @@
-"""Tests of the load allowance: never exceeded, also through a change of holder."""
+"""Tests of the load allowance: it is never exceeded, even when its holder changes."""
 
 import pytest
 
@@ -21,7 +21,7 @@
     async def run(
         self, vm, number, load_s, *, release=True, wait_s=60.0, priority=0, late_s=0.0
     ):
-        """Ask ``vm`` for leave and load."""
+        """Acquire a permit at ``vm`` and load."""
         allowances = self.world.vms[vm].allowances
         key = AdapterVersion(f"adapter-{number}", "1")
         permit = await allowances.acquire("weights", "engine", key, priority, wait_s)
@@ -41,7 +41,7 @@
         return self.world.spawn(self.run(vm, number, load_s, **options))
 
     def max_starts_in(self, window_s):
-        """The most loads that were started within any stretch of time."""
+        """Return the most loads that started within any ``window_s`` seconds."""
         times = [at for at, _ in self.started]
         return max(
             len([at for at in times if start <= at < start + window_s - 1e-6])
@@ -66,11 +66,11 @@
 @pytest.mark.parametrize("late_s", [0.1, 0.4, 1.5])
 @pytest.mark.parametrize("late", [0, 5, 12])
 async def test_a_load_that_starts_late_does_not_exceed_the_rate(late, late_s):
-    """The weight store slows down: it sees seven loads a second where six are agreed.
+    """Guards against a seventh load start in a second at a rate of six.
 
-    The owner of a target has leave to load and first evicts an adapter, or the target
-    is slow to carry out its orders. Loads that were given leave later start at once.
-    Spaced by their leave alone, the late one falls into the second of those behind it.
+    A load starts late after its permit, because the owner first evicts an adapter or
+    the target is slow. Loads with later permits start at once. If permits were spaced
+    without regard to this, the late start would fall into the second of the next ones.
     """
     world, loads = await _world(LOADS_AT_ONCE=8)
     first = [loads.spawn("a", 0, 0.1, late_s=late_s if late == 0 else 0.0)]
@@ -93,10 +93,9 @@
 
 
 async def test_permits_of_a_dead_vm_end_only_by_expiry():
-    """A VM dies while its load runs at the engine, and gives nothing back.
+    """A VM dies while its load runs at the engine and never releases its permit.
 
-    Its permit must count until the load has surely ended, and no longer: then the
-    share is free again.
+    The permit counts until the longest load has ended, and then it is free again.
     """
     world, loads = await _world(LOADS_AT_ONCE=1)
     loads.spawn("b", 1, 4.0, release=False)
@@ -110,9 +109,10 @@
 
 
 async def test_change_of_holder_waits_for_unknown_permits():
-    """The holder dies with two loads running, of which its successor knows nothing.
+    """Guards against too many loads after a change of holder.
 
-    Handing out two more at once would run four at the weight store and slow all.
+    The holder dies with two loads running that its successor does not know of. With
+    two more permits at once, four loads would run at the weight store.
     """
     world, loads = await _world("abc")
     for number in range(2):
@@ -127,9 +127,9 @@
 
 
 async def test_two_unproved_holders_share_the_allowance():
-    """The holder is cut from the store and a successor took over without proof.
+    """A holder is cut off from the store, and a successor took over without proof.
 
-    Both hand out loads. Each gives half, so that together they keep to the whole.
+    Both issue permits, each half of them, so that together they keep to the whole.
     """
     world, loads = await _world("ab")
     world.assign("b", ALLOWANCE, old_right=OrderRight.DEGRADED)
@@ -146,7 +146,7 @@
 
 
 async def test_frozen_holder_issues_no_permit_when_it_wakes():
-    """A holder freezes with askers waiting and wakes after its successor began."""
+    """A holder freezes while requests wait and wakes after its successor started."""
     world, loads = await _world("ab", LOADS_AT_ONCE=1)
     loads.spawn("b", 1, 3.0)
     await world.advance(0.5)
--- a/hawthornlead/tests/test_evict_guards.py
+++ b/hawthornlead/tests/test_evict_guards.py
@@ -1,4 +1,4 @@
-"""Tests of what a takeover lets an owner order, and from when on."""
+"""Tests of when a new owner may grant and evict after a takeover."""
 
 import random
 from typing import NamedTuple
@@ -33,7 +33,7 @@
         self.guard.observe(now)
 
     def record_fenced(self, boot_id="boot-1"):
-        """The target accepts the fence order, at once."""
+        """Let the target accept the fence order at once."""
         now = self.timers.now()
         return self.guard.record_fenced(now, now, boot_id)
 
@@ -59,10 +59,10 @@
 
 
 async def test_no_grant_before_the_fence_order_was_accepted():
-    """A new owner of a fencing target has not told it its number yet.
+    """Guards against a grant that a frozen predecessor's eviction would hit.
 
-    Its predecessor, frozen, wakes and sends an eviction, which the target accepts
-    still. A grant given before would lose its adapter.
+    Until a fencing target has accepted the new owner's number, it still carries out an
+    eviction that its predecessor sends when it wakes.
     """
     parts = _parts(True)
     await parts.timers.advance(1)
@@ -74,7 +74,7 @@
 
 
 async def test_restarted_target_has_to_be_told_again():
-    """The target restarts and forgets the number; an old owner's counts again."""
+    """A restarted target has lost the number and accepts an old owner's again."""
     parts = _parts(True)
     parts.record_fenced()
     parts.observe()
@@ -88,10 +88,11 @@
 
 
 async def test_fence_reply_of_an_earlier_start():
-    """The target accepts the number and restarts; a probe tells of the restart.
+    """Guards against a fence reply of an incarnation that has ended.
 
-    Then the slow reply to the fence order arrives. The present start knows nothing
-    of the number: an old owner's eviction would be carried out under new grants.
+    The target accepts the number and restarts. A probe shows the restart before the
+    slow reply to the fence order arrives. The current incarnation does not know the
+    number and would carry out an old owner's eviction under new grants.
     """
     parts = _parts(True)
     parts.observe()
@@ -111,10 +112,11 @@
 
 
 async def test_degraded_predecessor_that_was_just_accepted():
-    """A degraded predecessor had its number accepted right before the successor.
+    """Guards against an eviction under the last grants of a degraded predecessor.
 
-    It grants for that freshness on, and its last grant runs its whole time after
-    it. A report from before that moment would let the successor evict under it.
+    Its number was accepted right before the successor's. It may grant for
+    FENCE_MAX_AGE_S after that, and its last grant is valid for its whole time after.
+    An earlier report proves nothing.
     """
     parts = _parts(True)
     parts.record_fenced()
@@ -132,10 +134,11 @@
 
 
 async def test_earlier_moment_does_not_shorten_a_later_one():
-    """A successor waits out a degraded predecessor's grants on a fencing target.
+    """Guards against a wait for unknown grants that a second reason shortens.
 
-    The target restarts, and only then comes the proof that the predecessor has
-    stopped, with a moment of its own that is earlier. The later one stays.
+    A successor waits for a degraded predecessor's grants on a fencing target. The
+    target restarts, and then comes the proof that the predecessor has stopped, which
+    gives an earlier moment. The later moment counts.
     """
     parts = _parts(True)
     parts.record_fenced()
@@ -155,10 +158,10 @@
 
 @pytest.mark.parametrize("fencing", [False, True])
 async def test_orders_of_a_stopped_predecessor(fencing):
-    """A predecessor is proved to have stopped, with an eviction under way.
+    """A predecessor is proved to have stopped while its eviction may be under way.
 
     On a target that ignores fencing numbers nothing is granted before the longest
-    order is over. A fencing target refuses the order, so that need not be waited.
+    order has ended. A fencing target refuses the order, so no wait is needed.
     """
     parts = _parts(fencing, stopped=True, orders_s=8.0)
     if fencing:
--- a/hawthornlead/tests/test_exchanges.py
+++ b/hawthornlead/tests/test_exchanges.py
@@ -1,4 +1,4 @@
-"""Tests of the exchanges with targets."""
+"""Tests of exchanges with targets: lost connections and late requests."""
 
 import asyncio
 import socket
@@ -15,11 +15,11 @@
 
 @pytest.mark.parametrize("reset", [False, True])
 async def test_a_target_that_dies_before_its_headers_is_seen_at_once(reset):
-    """A request crashes one target after the other and is never suspected.
+    """Guards against a crash that looks like a slow target.
 
-    The target reads the request and dies of it before it has answered a header. The
-    layer went on waiting for headers on the closed connection, up to the deadline,
-    and took the target for slow; so nobody asked whether it had died.
+    The target reads the request and dies of it before it sends a header. If the
+    exchange waited for headers on the closed connection until the deadline, nobody
+    would check whether the target died, and the request would crash the next one.
     """
 
     async def die(reader, writer):
@@ -41,10 +41,10 @@
 
 
 async def test_a_request_that_the_network_holds_back_is_abandoned():
-    """An adapter is evicted under a run that nobody had seen coming.
+    """Guards against a request that arrives after its adapter was evicted.
 
-    The request was sent in its grant's last instant and a lossy network delivered
-    it seconds later, behind the report that showed the adapter idle.
+    The request is sent at the end of its grant, and a lossy network delivers it seconds
+    later, after the report that showed the adapter idle.
     """
     listener = socket.create_server(("127.0.0.1", 0))
     address = f"127.0.0.1:{listener.getsockname()[1]}"
--- a/hawthornlead/tests/test_grant_ledgers.py
+++ b/hawthornlead/tests/test_grant_ledgers.py
@@ -1,4 +1,4 @@
-"""Tests of the owner's book of grants: what proves an adapter idle."""
+"""Tests of the owner's grant ledger: what proves an adapter idle."""
 
 import random
 
@@ -28,7 +28,7 @@
         )
 
     def observe(self, running=0, queued=0, age_s=0.0):
-        """Probe, and read a report of ``age_s`` seconds ago."""
+        """Probe, then observe a report of ``age_s`` seconds ago."""
         now = self.timers.now()
         self.clock.record_probe(now, now + ENGINE_AHEAD_S, "boot")
         as_of = now + ENGINE_AHEAD_S - age_s
@@ -72,17 +72,17 @@
 
 
 async def test_report_with_a_queue_proves_nothing(parts):
-    """A request waits inside the engine, for an adapter that the report hides."""
+    """A request waits inside the engine for an adapter that no report names."""
     await _expire_grant(parts)
     parts.observe(queued=1)
     assert not parts.ledger.idle(TIDE)
 
 
 async def test_request_under_way_when_the_grant_expired(parts):
-    """A request was sent in its grant's last moment and has not arrived.
+    """Guards against an eviction that hits a request as it arrives.
 
-    A report of that moment shows nothing running; evicting then would break the
-    request as it arrives.
+    The request was sent at the end of its grant. A report of that moment shows nothing
+    running.
     """
     parts.ledger.issue("b", TIDE, 1)
     await parts.timers.advance(parts.ledger.max_lifetime_s())
--- a/hawthornlead/tests/test_grants.py
+++ b/hawthornlead/tests/test_grants.py
@@ -22,7 +22,7 @@
 
 
 class _Mesh:
-    """An owner at the other end, answering at once or after ``delay_s``."""
+    """A mesh whose only peer is an owner that answers after ``delay_s``."""
 
     vm = "here"
 
@@ -105,10 +105,10 @@
 
 
 async def test_grant_time_counts_from_the_request(grants, mesh, parts):
-    """The owner's reply takes eight of the grant's ten seconds.
+    """Guards against a grant that is valid longer here than at its owner.
 
-    Counted from the reply, the grant would outlive its end at the owner, which
-    might evict while a request begins.
+    The owner's reply takes eight of the grant's ten seconds. If the time counted from
+    the reply, the owner might evict while a request starts.
     """
     mesh.delay_s = 8.0
     requested_at = parts.timers.now()
@@ -122,10 +122,10 @@
 
 
 async def test_frozen_between_acquire_and_send(grants, parts):
-    """A process freezes after it got its grant and wakes when it has run out.
+    """Guards against a request that is sent under an expired grant.
 
-    The adapter may have been evicted meanwhile. The clock is read right before
-    the send, and the request is refused as not run.
+    A process freezes after it acquired its grant and wakes when it has expired. The
+    adapter may have been evicted meanwhile, so the request is refused as not run.
     """
     grant = await _get(grants)
     parts.timers._now += 60
@@ -144,10 +144,10 @@
 
 
 async def test_owner_that_cannot_renew_ends_new_work_only(grants, mesh, parts):
-    """The owner is gone while a stream runs.
+    """The owner is lost while a stream runs.
 
-    Nothing may begin under the grant after its end. The stream goes on: no owner
-    evicts before a report shows nothing running.
+    No request may start under the grant after its end. The stream goes on, since no
+    owner evicts before a report shows nothing running.
     """
     grant = await _get(grants)
     other = await _get(grants)
@@ -170,10 +170,10 @@
 
 
 async def test_renewal_reply_after_the_grant_was_given_back(grants, mesh, parts):
-    """A renewal is under way when the grant is asked back and given back.
+    """Guards against a late renewal that extends a released grant.
 
-    Its reply comes later and says that the grant was renewed. Were it extended, a
-    request could begin under a grant that the owner counts as returned.
+    The grant is revoked and released while a renewal is under way. If the reply
+    extended it, a request could start under a grant that the owner counts as released.
     """
     grant = await _get(grants)
     assert grant.start("r1").is_ok()
--- a/hawthornlead/tests/test_hot_copies.py
+++ b/hawthornlead/tests/test_hot_copies.py
@@ -1,4 +1,4 @@
-"""Tests of spare copies of hot adapters."""
+"""Tests of extra copies of hot adapters."""
 
 from result import Err
 
--- a/hawthornlead/tests/test_load_waits.py
+++ b/hawthornlead/tests/test_load_waits.py
@@ -1,4 +1,4 @@
-"""Tests of how long an owner lets a request wait for a slot, and of loads ahead."""
+"""Tests of how long an owner lets a request wait for a slot, and of prefetches."""
 
 from hawthornlead.errors import ErrorKind
 from hawthornlead.messages import AcquireLoad
@@ -27,9 +27,9 @@
 
 
 async def test_refused_at_once_or_soon_while_all_slots_stream():
-    """The one slot streams for a minute while other targets have room.
+    """Guards against a request that waits at a full target until its deadline.
 
-    An owner that let the request wait till its deadline would keep it from them.
+    The only slot runs a long stream while other targets have free slots.
     """
     world = await _world()
     await _streaming(world)
@@ -54,9 +54,9 @@
 
 
 async def test_a_prefetch_revokes_no_grant():
-    """A second copy is wanted while the only slot serves.
+    """A second copy is prefetched while the only slot is in use.
 
-    Nobody waits for the copy, so no request may lose its grant for it.
+    No request waits for the copy, so none may lose its grant for it.
     """
     world = await _world()
     await _streaming(world)
@@ -67,10 +67,10 @@
 
 
 async def test_no_prefetch_uses_a_free_slot_in_a_store_outage():
-    """In a store outage requests for cold adapters are refused, though slots were free.
+    """Guards against refusals of cold adapters in a store outage.
 
-    A hot adapter was given spare copies during the outage. They filled the free
-    slots, and an owner whose lease ran out evicts nothing.
+    If extra copies of a hot adapter filled the free slots during the outage, no other
+    adapter would get one: an owner whose lease has lapsed evicts nothing.
     """
     world = await _world(slots=2)
     await _streaming(world)
@@ -85,10 +85,10 @@
 
 
 async def test_a_full_target_refuses_soon_in_a_store_outage():
-    """A caller is told only at its deadline that its cold adapter has no slot.
+    """Guards against a useless wait until the deadline in a store outage.
 
-    All slots are taken when the store goes out. Its owner evicts nothing from then
-    on, so that no wait could have helped, and let the request wait all the same.
+    All slots are in use when the outage starts, and the owner evicts nothing from then
+    on, so no wait for a slot can help.
     """
     world = await _world()
     await _streaming(world)
@@ -104,10 +104,10 @@
 
 
 async def test_a_request_that_joins_a_prefetch_is_not_sorted_last():
-    """A load ahead waits for leave, a request joins it, and others keep coming.
+    """Guards against a load that stays last although a request waits for it.
 
-    Were the load still sorted as one that nobody waits for, all later ones would
-    go before it. It asks anew, with the number of its requests.
+    A request joins a prefetch that waits for its permit, while other loads keep coming.
+    The load requests its permit again with the number of its requests.
     """
     world = await _world(LOADS_PER_S=0.4, LOADS_AT_ONCE=1)
     world.engine.slots = 2
@@ -130,9 +130,10 @@
 
 
 async def test_states_announce_loads_that_wait_for_a_permit():
-    """Two VMs miss the same adapter while the weight store is busy.
+    """Guards against two loads of one adapter on different targets.
 
-    Were the first load told only once it runs, the second VM would place another.
+    Two VMs need the same adapter while the weight store is busy. If the first load
+    were announced only when it runs, the second VM would place another.
     """
     world = await _world(LOADS_PER_S=0.4, LOADS_AT_ONCE=1)
     world.engine.slots = 2
@@ -145,10 +146,11 @@
 
 
 async def test_an_adapter_used_once_is_evicted_before_a_hot_one():
-    """A one-off has just ended; its grant is kept for some seconds more.
+    """Guards against the eviction of a hot adapter in place of one used once.
 
-    Were only slots without grants weighed, the hot adapter would be evicted, which
-    nobody has asked for in the last seconds, and its next requests wait for a load.
+    The request for the other adapter has just ended, and its grant is kept for some
+    seconds. The hot adapter had no request in the last seconds and has no grant. If
+    only slots without grants were considered, the hot one would be evicted.
     """
     world = await _world()
     world.engine.slots = 2
--- a/hawthornlead/tests/test_slot_machines.py
+++ b/hawthornlead/tests/test_slot_machines.py
@@ -1,8 +1,8 @@
-"""A state machine over owners, grants and a target, with the target as the judge.
+"""A state machine test of owners and grants, checked by the target's own record.
 
 VMs stream, lose streams, freeze, die and are cut off; owners are replaced with and
 without proof that they stopped; the target restarts, lags and loses replies. The
-target's own record must never show an eviction under a running request.
+target's record must never show an eviction under a running request.
 """
 
 import asyncio
--- a/hawthornlead/tests/test_slot_takeovers.py
+++ b/hawthornlead/tests/test_slot_takeovers.py
@@ -1,4 +1,4 @@
-"""Tests of a target that changes owner, and of owners cut from the store."""
+"""Tests of takeovers of a target, and of owners cut off from the store."""
 
 import pytest
 
@@ -11,11 +11,11 @@
 
 @pytest.mark.parametrize("fencing", [True, False])
 async def test_owner_lost_with_grants_out(fencing):
-    """The owner dies while a VM streams under its grant.
+    """Guards against an eviction under grants that the successor does not know.
 
-    The successor knows of no grant. To it the adapter looks idle, and a load wants
-    its slot. Until unknown grants have run out and a later report shows nothing
-    running, it evicts nothing.
+    The owner dies while a VM streams under its grant, and a load waits for the slot.
+    The successor evicts nothing until unknown grants have expired and a later report
+    shows nothing running.
     """
     world = await owned_world("abc", fencing=fencing)
     grant = await streaming(world)
@@ -24,7 +24,7 @@
     world.assign("c", stopped=True)
     pending = world.acquire("c", "lap", wait_s=100)
     await world.advance(9)
-    # Its holder may begin under it until it runs out by its own clock.
+    # The holder may start requests under it until it expires by its own clock.
     if grant.start("r2").is_ok():
         assert world.engine.start("r2", ("tide", "1"))
     await world.advance(20)
@@ -36,11 +36,11 @@
 
 
 async def test_frozen_owner_wakes_after_its_successor_loaded():
-    """An owner freezes while it connects to evict, and wakes a minute later.
+    """Guards against an old eviction that breaks a stream of the successor.
 
-    Its successor has evicted the same adapter, loaded it again and let a stream
-    onto it. Sent now, the old order would break the stream. The clock is read
-    again when the connection stands, so it is not sent, whatever the target.
+    An owner freezes while it connects to evict and wakes after its successor has
+    granted the same adapter to a stream. It reads the clock again when the connection
+    is open and does not send the order, whether or not the target fences.
     """
     world = await owned_world("abc", fencing=False)
     await world.acquired("b", "tide")
@@ -56,11 +56,11 @@
 
 @pytest.mark.parametrize("fencing", [True, False])
 async def test_order_frozen_after_the_last_look_at_the_clock(fencing):
-    """An owner freezes between its last look at the clock and the write.
+    """An owner freezes between its last check of the clock and the write.
 
-    No check in its own process can help. A fencing target refuses the order; one
-    that ignores fencing numbers carries it out under a stream: this is the one gap
-    that is left there, and it needs a freeze within a few instructions.
+    No check in its own process can help. A fencing target refuses the order. One that
+    ignores fencing numbers carries it out under a stream. This is the only gap left
+    there, and it needs a freeze within a few instructions.
     """
     world = await owned_world("abc", fencing=fencing)
     await world.acquired("b", "tide")
@@ -77,8 +77,8 @@
 async def test_outage_keeps_serving_but_evicts_nothing():
     """The store is down and the owner's lease lapses.
 
-    It may be cut off and have a successor. It goes on granting what is resident
-    and fills free slots, and refuses what would need an eviction.
+    The owner may have a successor that it cannot learn of. It goes on granting what is
+    resident, fills free slots, and refuses what would need an eviction.
     """
     world = await owned_world(slots=2)
     await world.acquired("b", "tide")
@@ -93,10 +93,10 @@
 
 
 async def test_degraded_owner_learns_of_its_successor_by_the_fence():
-    """An owner is cut from the store; a successor has taken its target.
+    """An owner is cut off from the store, and a successor has taken its target.
 
-    On a fencing target it must stop granting, since the successor evicts there
-    when the old grants have run out. The target refuses its fencing number.
+    On a fencing target it must stop granting, since the successor evicts there when
+    the old grants have expired. It learns this when the target refuses its number.
     """
     world = await owned_world("abc")
     grant = await streaming(world)
@@ -112,10 +112,10 @@
 
 
 async def test_ignoring_target_is_not_evicted_before_predecessor_stopped():
-    """A degraded owner goes on granting on a target that ignores fences.
+    """Guards against evictions under the grants of a degraded predecessor.
 
-    Its successor has no proof that it stopped. Evicting would break its requests,
-    so the successor fills no occupied slot until the proof is there.
+    It goes on granting on a target that ignores fencing numbers. Its successor evicts
+    nothing until it has proof that the predecessor has stopped.
     """
     world = await owned_world("abc", fencing=False)
     await streaming(world)
@@ -130,7 +130,7 @@
     for resource, owned in owners.ownerships.items():
         owners.ownerships[resource] = owned._replace(predecessor_stopped=True)
     await world.advance(8)
-    # What the predecessor granted in its last moment has not run out yet.
+    # The predecessor's last grants have not expired yet.
     assert evictions(world) == []
     await world.advance(20)
     assert pending.result().is_ok() and world.engine.violations == []
@@ -139,9 +139,9 @@
 async def test_load_that_outlives_its_owner():
     """An owner is killed while a load runs that takes longer than ORDER_S.
 
-    It lands after its successor began to grant, in a slot that looked free to it.
-    What needs the slot meanwhile is refused; no request loses its adapter, and the
-    slot is used again.
+    The load ends after its successor started to grant, in a slot that looked free.
+    Loads that need the slot meanwhile are refused, no request loses its adapter, and
+    the slot is used again.
     """
     world = await owned_world("abc", fencing=False)
     world.engine.load_s = 20.0
--- a/hawthornlead/tests/test_slots.py
+++ b/hawthornlead/tests/test_slots.py
@@ -24,10 +24,10 @@
 
 
 async def test_new_vm_receives_target_states_at_once():
-    """A VM starts, joins, and a caller asks it in its first second.
+    """Guards against no-target answers by a VM that has just started.
 
-    The owner told the target's state before the VM had joined, and nothing has
-    changed since; until the next telling the VM would answer no-target.
+    The owner announced the target's state before the VM joined, and nothing has
+    changed since. Until the next announcement the VM would know no target.
     """
     world = World()
     world.cuts.add(frozenset("ab"))
@@ -40,10 +40,10 @@
 
 
 async def test_eviction_waits_for_a_running_stream():
-    """A caller streams a long ruling while another adapter is wanted.
+    """Guards against an eviction that breaks a running stream.
 
-    With one slot the second must wait: evicting now would break the stream. The
-    owner asks the grant back, and evicts only after the stream has ended.
+    A stream uses the only slot while a load of another adapter waits. The owner
+    revokes the grant and evicts only after the stream has ended.
     """
     world = await owned_world()
     grant = await streaming(world)
@@ -59,10 +59,11 @@
 
 @pytest.mark.parametrize("loss", ["dead", "frozen", "cut"])
 async def test_eviction_wanted_while_the_vm_of_the_stream_is_lost(loss):
-    """The VM that carries a stream dies, freezes or is cut from the owner.
+    """Guards against an eviction when the grant of a lost VM expires.
 
-    Its grant can't be renewed and runs out, but the target still runs the stream.
-    Evicting when the grant runs out would break it; the report must show it ended.
+    The VM that carries a stream dies, freezes or is cut off from the owner. Its grant
+    expires, but the target still runs the stream. The owner waits for a report that
+    shows the end of the stream.
     """
     world = await owned_world()
     grant = await streaming(world)
@@ -81,15 +82,15 @@
     if loss == "frozen":
         await world.thaw("b")
     if loss != "dead":
-        # What it believes to hold has run out by its own clock.
+        # The grant that it still holds has expired by its own clock.
         assert grant.start("r2").unwrap_err().kind is ErrorKind.NO_GRANT
 
 
 async def test_lost_stream_is_not_given_back():
-    """A VM gives up a silent stream, while the target still runs it.
+    """Guards against a grant that is released while its request still runs.
 
-    Were the grant given back as idle, the owner would evict under the running
-    request. It is left to run out, and a report must show that nothing runs.
+    A VM abandons a silent stream that the target still runs. The grant is left to
+    expire, and the owner evicts only after a report that shows nothing running.
     """
     world = await owned_world()
     grant = await streaming(world)
@@ -103,10 +104,10 @@
 
 
 async def test_report_that_lags_proves_nothing_of_later():
-    """Reports are five seconds old, and show the adapter idle before the stream.
+    """Guards against an old report that passes as proof of an idle adapter.
 
-    The carrying VM dies right after it sent. A report read after the grant ran out
-    but taken before the stream began must not pass as proof.
+    Reports lag by five seconds. The VM dies right after it started a stream. A report
+    read after the grant expired but taken before the stream started proves nothing.
     """
     world = await owned_world(GRANT_S=3.0, GRANT_RENEW_S=1.0)
     world.engine.report_lag_s = 5.0
@@ -123,10 +124,10 @@
 
 
 async def test_cold_restart_reloads_only_on_demand():
-    """An engine restarts with empty slots while VMs hold grants.
+    """Guards against loads of all adapters at once after an engine's restart.
 
-    Nothing is loaded by itself: a stampede would take the weight store from all
-    other targets. What is asked for is loaded again, once.
+    These would keep other targets from the weight store. An adapter is loaded again
+    only for a request, and once.
     """
     world = await owned_world(slots=2)
     await world.acquired("b", "tide")
@@ -143,8 +144,8 @@
 async def test_failed_load_frees_its_permit_and_is_not_retried_at_once():
     """A load fails partway.
 
-    Its requests are told; its slot and its share of the weight store are free for
-    others; and the next request for it is refused until the backoff is over.
+    Its requests get the failure, its slot and its permit are free for other loads, and
+    the next request for the adapter is refused until the backoff is over.
     """
     world = await owned_world(LOADS_AT_ONCE=1)
     world.engine.fail_loads = 1
@@ -158,10 +159,10 @@
 
 
 async def test_lost_reply_of_an_eviction_leaves_no_grant_on_it():
-    """An eviction is carried out and its answer is lost.
+    """Guards against grants on an adapter that a lost order has evicted.
 
-    Granting the adapter as still resident would send requests to nothing. The slot
-    is uncertain until a report taken later shows what became of it.
+    An eviction is carried out and its answer is lost. The slot is uncertain until a
+    later report shows whether the adapter is still there.
     """
     world = await owned_world()
     await world.acquired("b", "tide")
@@ -182,11 +183,11 @@
 @pytest.mark.parametrize("fencing", [True, False])
 @pytest.mark.parametrize("restart", [False, True])
 async def test_eviction_that_takes_effect_after_its_timeout(fencing, restart):
-    """An eviction is written just before its timeout, and its sender gives up.
+    """Guards against a late eviction that breaks a stream of the same owner.
 
-    It lands five seconds later. The report shows the adapter resident all the time,
-    a caller asks for it, and its stream would be broken by the sender's own order.
-    A target that restarted just before, unnoticed, has even loaded it anew.
+    An eviction is written just before its timeout and takes effect five seconds later.
+    Reports show the adapter as resident meanwhile, and a request needs it. The target
+    may also have restarted unnoticed just before and loaded the adapter again.
     """
     world = await owned_world(fencing=fencing)
     await world.acquired("b", "tide")
@@ -236,10 +237,10 @@
 
 
 async def test_target_that_begins_to_leave_during_a_load_gets_no_new_work():
-    """A target is about to be replaced, and a request still begins on it.
+    """Guards against new work on a leaving target.
 
-    The request had waited for a load since before the target left. Its load ended
-    later, and the grant was given without a look at the target's state.
+    A request waits for a load when the target starts to leave. When the load ends, the
+    owner must check the target's state again before it grants.
     """
     world = await owned_world()
     world.engine.load_s = 5.0
--- a/hawthornlead/tests/test_slots_joined.py
+++ b/hawthornlead/tests/test_slots_joined.py
@@ -1,4 +1,4 @@
-"""Owners, slots and grants together; the stand-ins' own records are the judge."""
+"""Tests of owners, slots and grants together, checked by the stand-ins' records."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 async def build():
-    """Build a fleet, and stop it in the end."""
+    """Build a fleet, and stop it at the end."""
     started = []
 
     async def make(names=("engine",), *, weights=None, settings=(), **faults):
@@ -42,7 +42,7 @@
 
 
 async def _resident(fleet, adapter="tide"):
-    """Have an adapter loaded, and its grant given back again."""
+    """Let an adapter be loaded and its grant be released again."""
     request = fleet.acquire(fleet.others()[0], adapter)
     await fleet.until(request.done)
     assert request.result().is_ok()
@@ -52,11 +52,11 @@
 
 @pytest.mark.parametrize("fencing", [True, False])
 async def test_owner_killed_with_grants_out(build, fencing):
-    """An owner is killed while a VM streams and holds grants, and a load waits.
+    """Guards against an eviction under grants that the successor does not know.
 
-    Its successor knows of no grant. By the target's own record the adapter is never
-    evicted under the stream, nor under a request that begins in the last moment of
-    its grant; the load is made when both have ended.
+    An owner is killed while a VM streams and holds grants, and a load waits. The
+    adapter is not evicted under the stream, nor under a request that starts at the end
+    of its grant. The load is done when both have ended.
     """
     fleet = await build(fencing=fencing, slots=1)
     owner, (holder, other) = fleet.owner(), fleet.others()
@@ -87,11 +87,11 @@
 @pytest.mark.parametrize("fencing", [True, False])
 @pytest.mark.parametrize("loss", ["killed", "shut down"])
 async def test_eviction_under_way_when_its_owner_goes(build, fencing, loss):
-    """An owner sends an eviction that the target carries out seven seconds later.
+    """Guards against an eviction of a former owner that hits requests.
 
-    Meanwhile the owner is killed or shuts down, and its successor may take over at
-    once. Callers ask for the adapter, which the target still reports as resident.
-    None of their requests may lose it.
+    The target carries out an eviction seven seconds late. Meanwhile its owner is killed
+    or shuts down, and the successor may take over at once. Requests need the adapter,
+    which the target still reports as resident.
     """
     fleet = await build(fencing=fencing, slots=1)
     owner, (holder, _) = fleet.owner(), fleet.others()
@@ -125,14 +125,14 @@
 
 
 async def test_allowance_through_a_change_of_its_holder(build):
-    """The holder of the weight store's allowance is killed with loads under way.
+    """Guards against too many loads after a change of the allowance's holder.
 
-    Its successor knows of none of them. By the weight store's own record there are
-    never more loads at once than allowed, nor more a second; afterwards all that
-    is wanted gets loaded.
+    The holder is killed with loads under way that its successor does not know of. By
+    the weight store's record neither the concurrent loads nor the rate exceed the
+    allowance, and in the end all adapters are loaded.
     """
     settings = {"LOADS_PER_S": 1.0, "LOADS_AT_ONCE": 2, "LOAD_S": 8.0}
-    # A start is one step of the hand-moved clocks early or late at each hop.
+    # Each hop may shift a start by one step of the manual clocks.
     weights = {"load_s": 5.0, "loads_per_s": 1.0, "at_once": 2, "slack_s": 0.25}
     names = ("engine-1", "engine-2", "engine-3")
     fleet = await build(
--- a/hawthornlead/tests/test_suspect_reservations.py
+++ b/hawthornlead/tests/test_suspect_reservations.py
@@ -1,4 +1,4 @@
-"""Tests of the place for one suspect on each target."""
+"""Tests of the reservations that let one suspect at a time run on a target."""
 
 from types import SimpleNamespace
 
@@ -26,10 +26,10 @@
 
 
 async def test_two_suspects_of_two_vms_never_run_on_one_target(world):
-    """An innocent request is refused for ten minutes.
+    """Guards against a harmless request that is quarantined for ten minutes.
 
-    It was beside the guilty one at a target's death, and both are sent again at
-    once through two VMs, which know only of their own, to the same next target.
+    It ran beside the crashing one when a target died. Both are sent again at once
+    through two VMs, which know only their own suspects, to the same next target.
     """
     assert (await world.reservations["vm-2"].reserve(VIEW, "guilty", 60)).is_ok()
     refused = await world.reservations["vm-3"].reserve(VIEW, "innocent", 60)
--- a/hawthornlead/tests/test_target_deaths.py
+++ b/hawthornlead/tests/test_target_deaths.py
@@ -1,4 +1,4 @@
-"""Tests of who is suspected when a target dies."""
+"""Tests of which requests become suspects when a target dies."""
 
 import pytest
 from result import Err, Ok
@@ -19,13 +19,13 @@
 
 
 def view(boot_id):
-    """Return the view of a target whose owner told its boot id."""
+    """Return the view of a target whose owner announced its boot id."""
     state = TargetState("t1", 1, 1, 2, 0, 0, False, (), boot_id)
     return TargetView("t1", "t1:1", "gijon", ("b",), "vm-2", state, 0.0, False)
 
 
 class Site:
-    """The deaths of one VM, with a target whose health a test sets."""
+    """The ``TargetDeaths`` of one VM, with a target whose health a test sets."""
 
     def __init__(self):
         self.timers = ManualTimerService()
@@ -40,18 +40,18 @@
         )
 
     def broadcast(self, message):
-        """Note what all VMs are told."""
+        """Record what is announced to all VMs."""
         self.announced.append(message)
 
     def cast(self, vm, message):
-        """Tell the target's owner."""
+        """Discard the message to the target's owner."""
 
     def client(self, address):
         """Return the target's client."""
         return self
 
     async def health(self):
-        """Answer as the test says."""
+        """Return the answer that the test has set."""
         return self.health_answer
 
 
@@ -61,10 +61,11 @@
 
 
 async def test_a_target_that_restarted_before_the_check_has_died(site):
-    """A request crashes its target, which is back before this VM looks.
+    """Guards against a crash that a quick restart hides.
 
-    Another attempt has met the new start already. Held against the newest boot id
-    the target looks well, and the request goes on to crash the next one.
+    A request crashes its target, which is back before this VM probes it, and another
+    attempt has already seen the new incarnation. Compared with the newest boot id the
+    target would look healthy, and the request would go on to crash the next one.
     """
     suspect_attempt = site.deaths.record_start(view("boot-1"), "r1.1", b"bad")
     site.deaths.record_start(view("boot-1"), "r2.1", b"beside")
@@ -77,9 +78,10 @@
 
 
 async def test_a_death_has_the_same_id_on_all_vms(site):
-    """Two VMs lose requests on one target; a crash counted twice convicts at once.
+    """Guards against one crash that counts twice, which would quarantine at once.
 
-    The boot id that the owner tells names the death alike on both.
+    Two VMs lose requests on one target. The boot id that the owner announces
+    identifies the death on both.
     """
     suspect_attempt = site.deaths.record_start(view("boot-1"), "r1.1", b"bad")
     site.suspects.record_death("t1", "boot-1", [b"bad"])
--- a/hawthornlead/tests/test_target_owners.py
+++ b/hawthornlead/tests/test_target_owners.py
@@ -1,13 +1,13 @@
-"""Tests of the targets that a VM owns, and of what it tells of them."""
+"""Tests of the targets that a VM owns and of their announcements."""
 
 from hawthornlead.tests.fakes_worlds import World
 
 
 async def test_a_joining_vm_receives_all_target_states_at_once():
-    """The first requests at a VM just started are refused "no target serves base".
+    """Guards against "no target serves base" answers by a VM that has just started.
 
-    An owner tells a target's state; then a VM joins. Without a change the owner
-    tells again only seconds later, and until then the VM knows of no usable target.
+    The VM joins after the owner announced a target's state. Without a change the owner
+    announces it again only seconds later.
     """
     world = World("a")
     world.assign("a")
--- a/hawthornlead/tests/test_targets.py
+++ b/hawthornlead/tests/test_targets.py
@@ -17,7 +17,7 @@
 
 class _Orders(RequestHandler):
     async def post(self):
-        self.application.settings["got"].append(self.request.body)
+        self.application.settings["bodies"].append(self.request.body)
         status, body, delay = self.application.settings["answer"]
         await asyncio.sleep(delay)
         self.set_status(status)
@@ -71,10 +71,10 @@
 
 
 async def test_silence_after_the_bytes_proves_nothing():
-    """An engine takes an order and does not answer in time.
+    """Guards against an order without an answer that counts as not carried out.
 
-    Told as 'not carried out', an evict that did happen would leave the owner
-    granting an adapter that is gone. The order was received: it may have happened.
+    An engine receives an order and does not answer in time. If it did evict, the owner
+    would go on granting an adapter that is no longer there.
     """
     client, server, bodies = await _engine((200, {}, 5))
     assert (await _order(client, 0.2)).unwrap_err().kind is ErrorKind.TARGET_LOST
@@ -90,10 +90,10 @@
 
 
 async def test_right_lost_while_connecting_sends_nothing():
-    """An owner freezes while it connects and wakes after its lease.
+    """Guards against an order that is sent after the owner's lease.
 
-    Its right was checked before the order; by the time the bytes go out a
-    successor may have evicted. The right is checked again before the body.
+    An owner freezes while it connects and wakes after its lease. By then a successor
+    may have evicted, so the right is checked again before the body is written.
     """
     client, server, bodies = await _engine((200, {"ok": True}, 0))
     refused = await _order(client, still_allowed=lambda: False)
