--- a/hawthornlead/tests/test_grants.py
+++ b/hawthornlead/tests/test_grants.py
@@ -22,7 +22,7 @@
 
 
 class _Mesh:
-    """An owner at the other end, answering at once or after ``delay_s``."""
+    """A mesh whose only peer is an owner that answers after ``delay_s``."""
 
     vm = "here"
 
@@ -52,7 +52,7 @@
         self.sent.append(message)
         return True
 
-    def of(self, message_type):
+    def sent_of(self, message_type):
         return [message for message in self.sent if isinstance(message, message_type)]
 
 
@@ -104,28 +104,28 @@
     assert third.grant_id == first.grant_id
 
 
-async def test_time_counts_from_the_asking(grants, mesh, parts):
-    """The owner's reply takes eight of the grant's ten seconds.
+async def test_grant_time_counts_from_the_request(grants, mesh, parts):
+    """Guards against a grant that is valid longer here than at its owner.
 
-    Counted from the reply, the grant would outlive its end at the owner, which
-    might evict while a request begins.
+    The owner's reply takes eight of the grant's ten seconds. If the time counted from
+    the reply, the owner might evict while a request starts.
     """
     mesh.delay_s = 8.0
-    asked_at = parts.timers.now()
-    asking = grants.acquire("engine", Assigned("tide"), wait_s=20.0)
-    task = asyncio.ensure_future(asking)
+    requested_at = parts.timers.now()
+    acquiring = grants.acquire("engine", Assigned("tide"), wait_s=20.0)
+    task = asyncio.ensure_future(acquiring)
     await asyncio.sleep(0)
     await asyncio.sleep(0)
     await parts.timers.advance(8.5)
     grant = task.result().unwrap()
-    assert grant.ends_at <= asked_at + 10.0
+    assert grant.ends_at <= requested_at + 10.0
 
 
 async def test_frozen_between_acquire_and_send(grants, parts):
-    """A process freezes after it got its grant and wakes when it has run out.
+    """Guards against a request that is sent under an expired grant.
 
-    The adapter may have been evicted meanwhile. The clock is read right before
-    the send, and the request is refused as not run.
+    A process freezes after it acquired its grant and wakes when it has expired. The
+    adapter may have been evicted meanwhile, so the request is refused as not run.
     """
     grant = await _get(grants)
     parts.timers._now += 60
@@ -137,17 +137,17 @@
     assert grant.start("r1").is_ok()
     ends_at = grant.ends_at
     await parts.timers.advance(20)
-    assert grant.ends_at > ends_at and mesh.of(RenewGrants)
+    assert grant.ends_at > ends_at and mesh.sent_of(RenewGrants)
     grant.finish("r1", ended=True)
     await parts.timers.advance(20)
-    assert mesh.of(ReleaseGrant) == [ReleaseGrant("engine", "g1", 0)]
+    assert mesh.sent_of(ReleaseGrant) == [ReleaseGrant("engine", "g1", 0)]
 
 
 async def test_owner_that_cannot_renew_ends_new_work_only(grants, mesh, parts):
-    """The owner is gone while a stream runs.
+    """The owner is lost while a stream runs.
 
-    Nothing may begin under the grant after its end. The stream goes on: no owner
-    evicts before a report shows nothing running.
+    No request may start under the grant after its end. The stream goes on, since no
+    owner evicts before a report shows nothing running.
     """
     grant = await _get(grants)
     other = await _get(grants)
@@ -158,22 +158,22 @@
     assert grant.lost_at > parts.timers.now()
 
 
-async def test_revoked_while_running_is_given_back_after(grants, mesh):
+async def test_grant_revoked_while_running_is_released_after(grants, mesh):
     grant = await _get(grants)
     assert grant.start("r1").is_ok()
     await mesh.handlers[RevokeGrant](None, RevokeGrant("engine", "g1"))
-    assert mesh.of(ReleaseGrant) == []
+    assert mesh.sent_of(ReleaseGrant) == []
     assert (await _get(grants)).grant_id == "g2"
     grant.finish("r1", ended=True)
-    assert mesh.of(ReleaseGrant) == [ReleaseGrant("engine", "g1", 0)]
+    assert mesh.sent_of(ReleaseGrant) == [ReleaseGrant("engine", "g1", 0)]
     assert grant.start("r2").is_err()
 
 
 async def test_renewal_reply_after_the_grant_was_given_back(grants, mesh, parts):
-    """A renewal is under way when the grant is asked back and given back.
+    """Guards against a late renewal that extends a released grant.
 
-    Its reply comes later and says that the grant was renewed. Were it extended, a
-    request could begin under a grant that the owner counts as returned.
+    The grant is revoked and released while a renewal is under way. If the reply
+    extended it, a request could start under a grant that the owner counts as released.
     """
     grant = await _get(grants)
     assert grant.start("r1").is_ok()
@@ -181,41 +181,41 @@
     mesh.delay_s = 1.0
     renewing = asyncio.ensure_future(grants.renew())
     await parts.timers.advance(0.5)
-    assert mesh.of(RenewGrants)
+    assert mesh.sent_of(RenewGrants)
     await mesh.handlers[RevokeGrant](None, RevokeGrant("engine", "g1"))
     grant.finish("r1", ended=True)
-    assert mesh.of(ReleaseGrant) == [ReleaseGrant("engine", "g1", 0)]
+    assert mesh.sent_of(ReleaseGrant) == [ReleaseGrant("engine", "g1", 0)]
     await parts.timers.advance(1.5)
     await renewing
     assert grant.ends_at == ends_at
     assert grant.start("r2").unwrap_err().kind is ErrorKind.NO_GRANT
 
 
-async def test_doubtful_end_is_not_given_back(grants, mesh, parts):
+async def test_grant_whose_end_was_not_seen_is_not_released(grants, mesh, parts):
     grant = await _get(grants)
     assert grant.start("r1").is_ok()
     grant.finish("r1")
     await mesh.handlers[RevokeGrant](None, RevokeGrant("engine", "g1"))
     await parts.timers.advance(30)
-    assert mesh.of(ReleaseGrant) == [] and mesh.of(RenewGrants) == []
+    assert mesh.sent_of(ReleaseGrant) == [] and mesh.sent_of(RenewGrants) == []
 
 
-async def test_revocation_that_overtakes_its_grant(grants, mesh):
+async def test_revocation_that_arrives_before_its_grant(grants, mesh):
     await mesh.handlers[RevokeGrant](None, RevokeGrant("engine", "g1"))
     assert (await _get(grants)).grant_id == "g2"
-    assert mesh.of(ReleaseGrant) == [ReleaseGrant("engine", "g1", 0)]
+    assert mesh.sent_of(ReleaseGrant) == [ReleaseGrant("engine", "g1", 0)]
 
 
-async def test_requests_begun_are_told(grants, mesh):
+async def test_started_requests_are_reported(grants, mesh):
     for number in range(3):
         grant = await _get(grants)
         assert grant.start(f"r{number}").is_ok()
         grant.finish(f"r{number}", ended=True)
     await grants.stop()
-    assert mesh.of(ReleaseGrant) == [ReleaseGrant("engine", "g1", 2)]
+    assert mesh.sent_of(ReleaseGrant) == [ReleaseGrant("engine", "g1", 2)]
 
 
-async def test_refusals_are_handed_on(grants, mesh):
+async def test_refusals_are_returned(grants, mesh):
     mesh.failure = Failure(ErrorKind.NO_SLOT, "full", 2.0)
     refused = await grants.acquire("engine", Assigned("tide"), wait_s=5.0)
     assert refused.unwrap_err().retry_after_s == 2.0
--- a/hawthornlead/tests/test_slots.py
+++ b/hawthornlead/tests/test_slots.py
@@ -8,30 +8,30 @@
 from .fakes_worlds import World
 
 
-async def test_an_owner_tells_the_boot_id():
+async def test_an_owner_announces_the_boot_id():
     world = await owned_world()
-    told = world.vms["b"].views.view("engine").state
-    assert told.boot_id == world.engine.boot_id != ""
+    announced = world.vms["b"].views.view("engine").state
+    assert announced.boot_id == world.engine.boot_id != ""
 
 
 async def test_loads_once_for_many_requests():
     world = await owned_world()
-    asked = [world.acquire(vm, "tide") for vm in "abab"]
+    request = [world.acquire(vm, "tide") for vm in "abab"]
     await world.advance(2.0)
-    assert all(task.result().is_ok() for task in asked)
+    assert all(task.result().is_ok() for task in request)
     assert len(world.engine.loads) == 1
-    assert asked[0].result().unwrap().loaded_s > 0
+    assert request[0].result().unwrap().loaded_s > 0
 
 
-async def test_newcomer_knows_the_targets_at_once():
-    """A VM starts, joins, and a caller asks it in its first second.
+async def test_new_vm_receives_target_states_at_once():
+    """Guards against no-target answers by a VM that has just started.
 
-    The owner told the target's state before the VM had joined, and nothing has
-    changed since; until the next telling the VM would answer no-target.
+    The owner announced the target's state before the VM joined, and nothing has
+    changed since. Until the next announcement the VM would know no target.
     """
     world = World()
     world.cuts.add(frozenset("ab"))
-    world.give("a")
+    world.assign("a")
     await world.advance(1.0)
     assert world.vms["b"].views.view("engine").state is None
     world.cuts.clear()
@@ -39,30 +39,31 @@
     assert world.vms["b"].views.view("engine").state is not None
 
 
-async def test_eviction_wanted_while_a_stream_runs():
-    """A caller streams a long ruling while another adapter is wanted.
+async def test_eviction_waits_for_a_running_stream():
+    """Guards against an eviction that breaks a running stream.
 
-    With one slot the second must wait: evicting now would break the stream. The
-    owner asks the grant back, and evicts only after the stream has ended.
+    A stream uses the only slot while a load of another adapter waits. The owner
+    revokes the grant and evicts only after the stream has ended.
     """
     world = await owned_world()
     grant = await streaming(world)
-    wanted = world.acquire("a", "lap", wait_s=60)
+    pending = world.acquire("a", "lap", wait_s=60)
     await world.advance(25)
-    assert not wanted.done() and evictions(world) == []
+    assert not pending.done() and evictions(world) == []
     assert world.engine.end("r1")
     grant.finish("r1", ended=True)
     await world.advance(1.0)
-    assert wanted.result().is_ok()
+    assert pending.result().is_ok()
     assert world.engine.violations == []
 
 
 @pytest.mark.parametrize("loss", ["dead", "frozen", "cut"])
 async def test_eviction_wanted_while_the_vm_of_the_stream_is_lost(loss):
-    """The VM that carries a stream dies, freezes or is cut from the owner.
+    """Guards against an eviction when the grant of a lost VM expires.
 
-    Its grant can't be renewed and runs out, but the target still runs the stream.
-    Evicting when the grant runs out would break it; the report must show it ended.
+    The VM that carries a stream dies, freezes or is cut off from the owner. Its grant
+    expires, but the target still runs the stream. The owner waits for a report that
+    shows the end of the stream.
     """
     world = await owned_world()
     grant = await streaming(world)
@@ -72,41 +73,41 @@
         world.freeze("b")
     else:
         world.cuts.add(frozenset("ab"))
-    wanted = world.acquire("a", "lap", wait_s=100)
+    pending = world.acquire("a", "lap", wait_s=100)
     await world.advance(40)
-    assert not wanted.done() and evictions(world) == []
+    assert not pending.done() and evictions(world) == []
     assert world.engine.end("r1")
     await world.advance(3)
-    assert wanted.result().is_ok() and world.engine.violations == []
+    assert pending.result().is_ok() and world.engine.violations == []
     if loss == "frozen":
         await world.thaw("b")
     if loss != "dead":
-        # What it believes to hold has run out by its own clock.
+        # The grant that it still holds has expired by its own clock.
         assert grant.start("r2").unwrap_err().kind is ErrorKind.NO_GRANT
 
 
 async def test_lost_stream_is_not_given_back():
-    """A VM gives up a silent stream, while the target still runs it.
+    """Guards against a grant that is released while its request still runs.
 
-    Were the grant given back as idle, the owner would evict under the running
-    request. It is left to run out, and a report must show that nothing runs.
+    A VM abandons a silent stream that the target still runs. The grant is left to
+    expire, and the owner evicts only after a report that shows nothing running.
     """
     world = await owned_world()
     grant = await streaming(world)
     grant.finish("r1")
-    wanted = world.acquire("a", "lap", wait_s=60)
+    pending = world.acquire("a", "lap", wait_s=60)
     await world.advance(20)
-    assert not wanted.done()
+    assert not pending.done()
     assert world.engine.end("r1")
     await world.advance(2)
-    assert wanted.result().is_ok() and world.engine.violations == []
+    assert pending.result().is_ok() and world.engine.violations == []
 
 
 async def test_report_that_lags_proves_nothing_of_later():
-    """Reports are five seconds old, and show the adapter idle before the stream.
+    """Guards against an old report that passes as proof of an idle adapter.
 
-    The carrying VM dies right after it sent. A report read after the grant ran out
-    but taken before the stream began must not pass as proof.
+    Reports lag by five seconds. The VM dies right after it started a stream. A report
+    read after the grant expired but taken before the stream started proves nothing.
     """
     world = await owned_world(GRANT_S=3.0, GRANT_RENEW_S=1.0)
     world.engine.report_lag_s = 5.0
@@ -114,19 +115,19 @@
     await world.advance(2.5)
     assert world.send("b", grant, "tide", "r1")
     world.kill("b")
-    wanted = world.acquire("a", "lap", wait_s=60)
+    pending = world.acquire("a", "lap", wait_s=60)
     await world.advance(20)
-    assert not wanted.done() and world.engine.violations == []
+    assert not pending.done() and world.engine.violations == []
     world.engine.end("r1")
     await world.advance(8)
-    assert wanted.result().is_ok()
+    assert pending.result().is_ok()
 
 
 async def test_cold_restart_reloads_only_on_demand():
-    """An engine restarts with empty slots while VMs hold grants.
+    """Guards against loads of all adapters at once after an engine's restart.
 
-    Nothing is loaded by itself: a stampede would take the weight store from all
-    other targets. What is asked for is loaded again, once.
+    These would keep other targets from the weight store. An adapter is loaded again
+    only for a request, and once.
     """
     world = await owned_world(slots=2)
     await world.acquired("b", "tide")
@@ -140,11 +141,11 @@
     assert len(world.engine.loads) == 3
 
 
-async def test_failed_load_frees_its_share_and_is_not_tried_at_once():
+async def test_failed_load_frees_its_permit_and_is_not_retried_at_once():
     """A load fails partway.
 
-    Its requests are told; its slot and its share of the weight store are free for
-    others; and the next request for it is refused until the backoff is over.
+    Its requests get the failure, its slot and its permit are free for other loads, and
+    the next request for the adapter is refused until the backoff is over.
     """
     world = await owned_world(LOADS_AT_ONCE=1)
     world.engine.fail_loads = 1
@@ -158,55 +159,55 @@
 
 
 async def test_lost_reply_of_an_eviction_leaves_no_grant_on_it():
-    """An eviction is carried out and its answer is lost.
+    """Guards against grants on an adapter that a lost order has evicted.
 
-    Granting the adapter as still resident would send requests to nothing. The slot
-    is uncertain until a report taken later shows what became of it.
+    An eviction is carried out and its answer is lost. The slot is uncertain until a
+    later report shows whether the adapter is still there.
     """
     world = await owned_world()
     await world.acquired("b", "tide")
     await world.advance(4)
     world.engine.report_lag_s = 5.0
     world.engine.lose_replies = 1
-    wanted = world.acquire("a", "lap", wait_s=60)
+    pending = world.acquire("a", "lap", wait_s=60)
     await world.advance(1)
     assert world.engine.residents == set()
-    asked = world.acquire("b", "tide", wait_s=5, load=False)
+    request = world.acquire("b", "tide", wait_s=5, load=False)
     await world.advance(0.2)
-    assert asked.result().is_err()
+    assert request.result().is_err()
     await world.advance(20)
-    assert wanted.done() and world.engine.violations == []
+    assert pending.done() and world.engine.violations == []
     assert (await world.acquired("b", "lap", wait_s=30)).is_ok()
 
 
 @pytest.mark.parametrize("fencing", [True, False])
 @pytest.mark.parametrize("restart", [False, True])
-async def test_eviction_that_lands_after_its_timeout(fencing, restart):
-    """An eviction is written just before its timeout, and its sender gives up.
+async def test_eviction_that_takes_effect_after_its_timeout(fencing, restart):
+    """Guards against a late eviction that breaks a stream of the same owner.
 
-    It lands five seconds later. The report shows the adapter resident all the time,
-    a caller asks for it, and its stream would be broken by the sender's own order.
-    A target that restarted just before, unnoticed, has even loaded it anew.
+    An eviction is written just before its timeout and takes effect five seconds later.
+    Reports show the adapter as resident meanwhile, and a request needs it. The target
+    may also have restarted unnoticed just before and loaded the adapter again.
     """
     world = await owned_world(fencing=fencing)
     await world.acquired("b", "tide")
     await world.advance(4)
     world.vms["a"].client.late_evict = (7.5, 5.0)
-    wanted = world.acquire("a", "lap", wait_s=15)
+    pending = world.acquire("a", "lap", wait_s=15)
     await world.advance(6.5)
     if restart:
         world.engine.restart()
     await world.advance(2)
-    asked = world.acquire("b", "tide", wait_s=40)
+    request = world.acquire("b", "tide", wait_s=40)
     for _ in range(600):
-        if asked.done():
+        if request.done():
             break
         await world.advance(0.1)
-    grant = asked.result().unwrap()
+    grant = request.result().unwrap()
     assert world.send("b", grant, "tide", "r1")
     await world.advance(20)
     assert world.engine.end("r1") and world.engine.violations == []
-    assert wanted.done()
+    assert pending.done()
 
 
 async def test_each_request_counts_once_for_its_owner():
@@ -236,10 +237,10 @@
 
 
 async def test_target_that_begins_to_leave_during_a_load_gets_no_new_work():
-    """A target is about to be replaced, and a request still begins on it.
+    """Guards against new work on a leaving target.
 
-    The request had waited for a load since before the target left. Its load ended
-    later, and the grant was given without a look at the target's state.
+    A request waits for a load when the target starts to leave. When the load ends, the
+    owner must check the target's state again before it grants.
     """
     world = await owned_world()
     world.engine.load_s = 5.0
@@ -254,7 +255,7 @@
     assert waiting.result().unwrap_err().kind is ErrorKind.TARGET_REFUSED
 
 
-async def test_silent_target_is_told_and_refused():
+async def test_silent_target_is_announced_and_refused():
     world = await owned_world()
     await world.acquired("b", "tide")
     assert world.vms["b"].views.view("engine").state.residents
@@ -268,7 +269,7 @@
     assert (await world.acquired("b", "tide")).is_ok()
 
 
-async def test_load_that_cannot_be_made_in_time_is_refused_at_once():
+async def test_load_that_would_end_too_late_is_refused_at_once():
     world = await owned_world(LOADS_PER_S=0.5, LOADS_AT_ONCE=1)
     task = world.acquire("b", "tide", wait_s=0.3)
     await world.advance(0.1)
