--- a/hawthornlead/tests/bad_entries.py
+++ b/hawthornlead/tests/bad_entries.py
@@ -1,4 +1,4 @@
-"""Objects of the platform's store as another writer may leave them.
+"""Invalid objects of the platform's store, as another writer may write them.
 
 ``WRONG`` lists, for each kind and field, values that the field must not have::
 
@@ -25,84 +25,90 @@
 DEEP: list = []
 for _ in range(60):
     DEEP = [DEEP]
-NO_TEXT = [None, True, 0, 1.5, [], {}, ["x"], {"a": "b"}, "\ud800", "x\udcff"]
-NO_WHOLE = [None, True, False, -1, 1.0, 1.5, "1", "", [], {}, 10**25, math.inf]
-NO_NUMBER = [None, True, "1", [], {}, math.inf, -math.inf, math.nan, 10**400]
-NO_FLAG = [None, 0, 1, "true", [], {}]
-NO_LIST = [None, True, 0, 1.5, "x", {}, {"a": "b"}]
-NO_ADDRESS = [*NO_TEXT, "", ":", "10.0.0.1", "10.0.0.1:", "10.0.0.1:0", ":80"]
-NO_ADDRESS += ["10.0.0.1:65536", "10.0.0.1:-8", "10.0.0.1:8²", "10.0.0.1:" + "8" * 99]
-NO_IP = [*NO_ADDRESS, "hall-3:80", "10.0.0:80", "10.0.0.1 :80", "999.0.0.1:80"]
-NO_STATE = [*NO_TEXT, "", "READY", "gone"]
-NO_ADAPTER = [*NO_TEXT, "", "a1", "a1@", "@1", "a1@x", "a1@-1", "a1@1.5", "a1@²"]
-NO_MODELS = [*NO_LIST, [None], ["m"], [[]], [{}], [{"name": "m"}]]
-# Null counts as absent where the operator may leave a field out.
-NO_LIMITS = [True, 0, "x", [1]]
+NOT_TEXT = [None, True, 0, 1.5, [], {}, ["x"], {"a": "b"}, "\ud800", "x\udcff"]
+NOT_WHOLE_NUMBER = [None, True, False, -1, 1.0, 1.5, "1", "", [], {}, 10**25, math.inf]
+NOT_NUMBER = [None, True, "1", [], {}, math.inf, -math.inf, math.nan, 10**400]
+NOT_BOOLEAN = [None, 0, 1, "true", [], {}]
+NOT_LIST = [None, True, 0, 1.5, "x", {}, {"a": "b"}]
+NOT_ADDRESS = [*NOT_TEXT, "", ":", "10.0.0.1", "10.0.0.1:", "10.0.0.1:0", ":80"]
+NOT_ADDRESS += ["10.0.0.1:65536", "10.0.0.1:-8", "10.0.0.1:8²", "10.0.0.1:" + "8" * 99]
+NOT_IP_ADDRESS = [
+    *NOT_ADDRESS,
+    "hall-3:80",
+    "10.0.0:80",
+    "10.0.0.1 :80",
+    "999.0.0.1:80",
+]
+NOT_STATE = [*NOT_TEXT, "", "READY", "gone"]
+NOT_ADAPTER = [*NOT_TEXT, "", "a1", "a1@", "@1", "a1@x", "a1@-1", "a1@1.5", "a1@²"]
+NOT_MODELS = [*NOT_LIST, [None], ["m"], [[]], [{}], [{"name": "m"}]]
+# Null counts as absent in optional fields of the operator's configuration.
+NOT_LIMITS = [True, 0, "x", [1]]
 
 WRONG: dict[str, dict[tuple, list]] = {
     TARGETS_KIND: {
-        ("service",): [MISSING, *NO_TEXT],
-        ("address",): [MISSING, *NO_IP],
-        ("zone",): [MISSING, *NO_TEXT],
-        ("version",): [MISSING, *NO_TEXT],
-        ("slots",): [MISSING, *NO_WHOLE, 0],
-        ("seq",): [MISSING, *NO_WHOLE],
-        ("coldRemainingMs",): [MISSING, *NO_NUMBER],
-        ("state",): [MISSING, *NO_STATE],
-        ("born",): NO_WHOLE,
-        ("remainingMs",): NO_NUMBER[1:],
-        ("models",): NO_MODELS,
-        ("models", 0, "name"): [MISSING, *NO_TEXT],
-        ("models", 0, "version"): [MISSING, *NO_WHOLE],
-        ("models", 0, "adapters"): [MISSING, *NO_LIST],
-        ("models", 0, "adapters", 0): NO_ADAPTER,
+        ("service",): [MISSING, *NOT_TEXT],
+        ("address",): [MISSING, *NOT_IP_ADDRESS],
+        ("zone",): [MISSING, *NOT_TEXT],
+        ("version",): [MISSING, *NOT_TEXT],
+        ("slots",): [MISSING, *NOT_WHOLE_NUMBER, 0],
+        ("seq",): [MISSING, *NOT_WHOLE_NUMBER],
+        ("coldRemainingMs",): [MISSING, *NOT_NUMBER],
+        ("state",): [MISSING, *NOT_STATE],
+        ("born",): NOT_WHOLE_NUMBER,
+        ("remainingMs",): NOT_NUMBER[1:],
+        ("models",): NOT_MODELS,
+        ("models", 0, "name"): [MISSING, *NOT_TEXT],
+        ("models", 0, "version"): [MISSING, *NOT_WHOLE_NUMBER],
+        ("models", 0, "adapters"): [MISSING, *NOT_LIST],
+        ("models", 0, "adapters", 0): NOT_ADAPTER,
     },
     VERSIONS_KIND: {
-        ("model",): [MISSING, *NO_TEXT],
-        ("adapter",): [MISSING, *NO_TEXT],
-        ("version",): [MISSING, *NO_WHOLE],
+        ("model",): [MISSING, *NOT_TEXT],
+        ("adapter",): [MISSING, *NOT_TEXT],
+        ("version",): [MISSING, *NOT_WHOLE_NUMBER],
     },
     CONFIGURATION_KIND: {
-        ("version",): [MISSING, *NO_WHOLE],
-        ("routes",): [MISSING, *NO_LIST],
+        ("version",): [MISSING, *NOT_WHOLE_NUMBER],
+        ("routes",): [MISSING, *NOT_LIST],
         ("routes", 0): [None, True, 1, "x", [], {}],
-        ("routes", 0, "host"): [MISSING, *NO_TEXT],
-        ("routes", 0, "pathPrefix"): [MISSING, *NO_TEXT],
-        ("routes", 0, "kind"): [MISSING, *NO_TEXT, "", "SAFE"],
-        ("routes", 0, "timeoutMs"): [MISSING, *NO_NUMBER],
-        ("routes", 0, "service"): [MISSING, *NO_TEXT],
-        ("routes", 0, "priority"): NO_WHOLE[1:],
-        ("routes", 0, "attempts"): NO_WHOLE[1:],
-        ("routes", 0, "resumable"): NO_FLAG[1:],
-        ("routes", 0, "gapTargetMs"): NO_NUMBER[1:],
+        ("routes", 0, "host"): [MISSING, *NOT_TEXT],
+        ("routes", 0, "pathPrefix"): [MISSING, *NOT_TEXT],
+        ("routes", 0, "kind"): [MISSING, *NOT_TEXT, "", "SAFE"],
+        ("routes", 0, "timeoutMs"): [MISSING, *NOT_NUMBER],
+        ("routes", 0, "service"): [MISSING, *NOT_TEXT],
+        ("routes", 0, "priority"): NOT_WHOLE_NUMBER[1:],
+        ("routes", 0, "attempts"): NOT_WHOLE_NUMBER[1:],
+        ("routes", 0, "resumable"): NOT_BOOLEAN[1:],
+        ("routes", 0, "gapTargetMs"): NOT_NUMBER[1:],
         ("routes", 4, "split"): [True, 1, "x", {"a": 1}, ["x"], [{}]],
-        ("routes", 4, "split", 0, "weight"): [MISSING, *NO_NUMBER],
-        ("services",): [MISSING, *NO_LIST],
+        ("routes", 4, "split", 0, "weight"): [MISSING, *NOT_NUMBER],
+        ("services",): [MISSING, *NOT_LIST],
         ("services", 0): [None, True, 1, "x", [], {}],
         ("services", 0, "engine"): [True, 1, "x", [1]],
-        ("services", 0, "engine", "slots"): [MISSING, *NO_WHOLE],
-        ("services", 0, "engine", "models"): [MISSING, *NO_LIST],
+        ("services", 0, "engine", "slots"): [MISSING, *NOT_WHOLE_NUMBER],
+        ("services", 0, "engine", "models"): [MISSING, *NOT_LIST],
         ("services", 0, "engine", "models", 0): [None, True, "x", []],
-        ("services", 0, "maxConns"): NO_WHOLE[1:],
-        ("limits",): NO_LIMITS,
-        ("limits", "idleTimeoutMs"): NO_NUMBER[1:],
+        ("services", 0, "maxConns"): NOT_WHOLE_NUMBER[1:],
+        ("limits",): NOT_LIMITS,
+        ("limits", "idleTimeoutMs"): NOT_NUMBER[1:],
     },
     VMS_KIND: {
-        ("vm",): [MISSING, *NO_TEXT, "another"],
-        ("incarnation",): [MISSING, *NO_TEXT],
-        ("data_centre",): [MISSING, *NO_TEXT],
-        ("peer_address",): [MISSING, *NO_ADDRESS],
-        ("caller_address",): [MISSING, *NO_ADDRESS],
-        ("leaving",): [MISSING, *NO_FLAG],
+        ("vm",): [MISSING, *NOT_TEXT, "another"],
+        ("incarnation",): [MISSING, *NOT_TEXT],
+        ("data_centre",): [MISSING, *NOT_TEXT],
+        ("peer_address",): [MISSING, *NOT_ADDRESS],
+        ("caller_address",): [MISSING, *NOT_ADDRESS],
+        ("leaving",): [MISSING, *NOT_BOOLEAN],
     },
 }
-# In the place of a whole object's content.
-NO_OBJECT = [True, 0, 1.5, "", "x", [], ["spec"], math.inf, DEEP, {"x": DEEP}]
-NO_OBJECT += [{}, {"x": "\ud800"}, {"\udcff": 1}]
+# Values that are no valid content of any object.
+NOT_OBJECT = [True, 0, 1.5, "", "x", [], ["spec"], math.inf, DEEP, {"x": DEEP}]
+NOT_OBJECT += [{}, {"x": "\ud800"}, {"\udcff": 1}]
 
 
 def target_spec(**fields: Any) -> dict:
-    """Return a whole entry of an engine, with some fields replaced."""
+    """Return a valid entry of an engine, with some fields replaced."""
     return {
         "service": "llm",
         "address": "10.0.0.1:80",
@@ -119,7 +125,7 @@
 
 
 def good_spec(kind: str, name: str, number: int) -> dict:
-    """Return what an object of a kind holds, another for each number."""
+    """Return valid content of an object of a kind, different for each number."""
     if kind == TARGETS_KIND:
         return target_spec(address=f"10.0.{number // 250}.1:{number % 250 + 1}")
     if kind == VERSIONS_KIND:
@@ -138,15 +144,15 @@
 
 
 def with_value(spec: dict, path: tuple, value: Any) -> dict:
-    """Return a copy in which the field at a path has a value, or is missing."""
+    """Return a copy in which the field at a path has a value, or is ``MISSING``."""
     changed = copy.deepcopy(spec)
-    place = changed
+    container = changed
     for step in path[:-1]:
-        place = place[step]
+        container = container[step]
     if value is MISSING:
-        del place[path[-1]]
+        del container[path[-1]]
     else:
-        place[path[-1]] = value
+        container[path[-1]] = value
     return changed
 
 
@@ -157,9 +163,9 @@
 
 @st.composite
 def bad_specs(draw, kind: str, name: str):
-    """Write what no decoder of a kind may accept."""
+    """Draw content that no decoder of a kind may accept."""
     if draw(st.integers(0, 4)) == 0:
-        return draw(st.sampled_from(NO_OBJECT))
+        return draw(st.sampled_from(NOT_OBJECT))
     path, value = draw(st.sampled_from(wrong_values(kind)))
     return with_value(good_spec(kind, name, 1), path, value)
 
@@ -183,16 +189,20 @@
 
 @st.composite
 def scrambled(draw, spec: dict):
-    """Put any JSON in the place of a few parts of an object."""
+    """Replace a few parts of an object by any JSON."""
     changed = copy.deepcopy(spec)
     for _ in range(draw(st.integers(1, 3))):
-        place = changed
+        container = changed
         while True:
-            keys = list(place) if isinstance(place, dict) else list(range(len(place)))
+            keys = (
+                list(container)
+                if isinstance(container, dict)
+                else list(range(len(container)))
+            )
             key = draw(st.sampled_from(keys))
-            inner = place[key]
+            inner = container[key]
             if not isinstance(inner, dict | list) or not inner or draw(st.booleans()):
                 break
-            place = inner
-        place[key] = draw(ANY_JSON)
+            container = inner
+        container[key] = draw(ANY_JSON)
     return changed
--- a/hawthornlead/tests/fakes_leases.py
+++ b/hawthornlead/tests/fakes_leases.py
@@ -1,4 +1,4 @@
-"""Leases and ownerships of a few VMs over one store in memory, with time by hand.
+"""Leases and ownerships of a few VMs over one store in memory, with a manual clock.
 
 ::
 
@@ -23,13 +23,14 @@
 
 from .fakes_mesh import LocalNetwork
 
-AWAY = Err(Failure(ErrorKind.STORE_UNAVAILABLE, "the store is away"))
+UNAVAILABLE = Err(Failure(ErrorKind.STORE_UNAVAILABLE, "the store is away"))
 
 
 class FakeStore:
-    """Objects in memory; ``away`` refuses calls, ``answer_s`` is how long they take.
+    """A store in memory.
 
-    ``after_read`` runs between the reading of an object and the answer.
+    While ``away`` is set it refuses calls. A replacement takes ``answer_s``.
+    ``after_read`` is awaited between the read of an object and the answer.
     """
 
     def __init__(self, timers):
@@ -43,7 +44,7 @@
     async def get(self, kind, name):
         """Return one object, None if there is none."""
         if self.away:
-            return AWAY
+            return UNAVAILABLE
         found = self.objects.get((kind, name))
         if self.after_read is not None:
             await self.after_read(kind)
@@ -52,18 +53,18 @@
     async def list_all(self, kind):
         """Return all objects of a kind."""
         if self.away:
-            return AWAY
+            return UNAVAILABLE
         records = [each for (of, _), each in self.objects.items() if of == kind]
         return Ok(StoreChanges(tuple(records), self._revision))
 
     def overwrite(self, kind, name, spec):
-        """Write as another writer does, who knows nothing of conditions."""
+        """Write unconditionally, as another writer may."""
         return self._write(kind, name, spec)
 
     async def create(self, kind, name, spec):
         """Create an object."""
         if self.away:
-            return AWAY
+            return UNAVAILABLE
         if (kind, name) in self.objects:
             return Err(Failure(ErrorKind.VERSION_CONFLICT, "it exists"))
         return Ok(self._write(kind, name, spec))
@@ -71,7 +72,7 @@
     async def replace(self, kind, name, spec, revision):
         """Replace an object that is at a revision."""
         if self.away:
-            return AWAY
+            return UNAVAILABLE
         known = self.objects.get((kind, name))
         if known is None or known.revision != revision:
             return Err(Failure(ErrorKind.VERSION_CONFLICT, "it changed"))
@@ -112,7 +113,7 @@
 
 
 class Fleet:
-    """Two VMs that share a store, and time moved by hand."""
+    """Two VMs that share a store, with a manual clock."""
 
     def __init__(self):
         self.timers = ManualTimerService()
@@ -126,5 +127,5 @@
         return Vm(self.network, self.store, self.timers, name, incarnation)
 
     def pass_time(self, seconds):
-        """Move the clock, as a suspension of all would."""
+        """Move the clock without running timers, as a suspension of all VMs does."""
         self.timers._now += seconds
--- a/hawthornlead/tests/test_bad_entries.py
+++ b/hawthornlead/tests/test_bad_entries.py
@@ -1,4 +1,4 @@
-"""Tests of decoding what others wrote: a typed record or ``ValueError``, no third."""
+"""Tests that decoding any content gives a typed record or ``ValueError``."""
 
 import math
 import types
@@ -30,7 +30,7 @@
     ANY_JSON,
     DEEP,
     MISSING,
-    NO_OBJECT,
+    NOT_OBJECT,
     WRONG,
     good_spec,
     scrambled,
@@ -59,13 +59,13 @@
 
 
 def stored(spec, name="main"):
-    """Return the object as the store's answer is read."""
+    """Return the object as it is read from the store's answer."""
     metadata = {"name": name, "revision": 3}
     return read_record({"metadata": metadata, "spec": spec, "status": None})
 
 
 def assert_typed(value, hint):
-    """Check that a record holds what its type hints promise, and finite numbers."""
+    """Check that a record matches its type hints and has finite numbers only."""
     origin = typing.get_origin(hint)
     if origin in (types.UnionType, typing.Union):
         if value is not None:
@@ -91,7 +91,7 @@
 
 
 def read_or_refuse(decode, given_value):
-    """Decode; what is accepted must be typed."""
+    """Decode a value; if it is accepted, the record must match its types."""
     try:
         read = decode(given_value)
     except ValueError:
@@ -108,8 +108,8 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-@pytest.mark.parametrize("content", NO_OBJECT, ids=lambda value: f"{value!r:.20}")
-def test_what_is_no_such_object_is_refused(kind, content):
+@pytest.mark.parametrize("content", NOT_OBJECT, ids=lambda value: f"{value!r:.20}")
+def test_invalid_content_is_refused(kind, content):
     with pytest.raises(ValueError, match="^invalid "):
         DECODERS[kind](stored(content))
 
@@ -120,10 +120,11 @@
     ids=lambda each: ".".join(map(str, each)) if isinstance(each, tuple) else each,
 )
 def test_each_field_must_have_its_type(kind, path):
-    """Requests go to an engine that isn't there, or a VM stops to hear of any.
+    """A wrong type in one field must make the object invalid.
 
-    An entry by another writer had a text for a number, or a state that isn't known.
-    It was used as if it were whole, or its decoding ended the task that watches.
+    Another writer's entry has a text for a number, or an unknown state. If it is used,
+    requests go to an engine that doesn't exist; if decoding fails otherwise, the task
+    that watches the kind ends and the VM learns of no more changes.
     """
     for value in WRONG[kind][path]:
         spec = with_value(good_spec(kind, "main", 7), path, value)
@@ -135,7 +136,7 @@
         pytest.fail(f"{path} {given_value:.60} was read as {read}")
 
 
-def test_what_an_entry_may_leave_out():
+def test_optional_fields_of_an_entry():
     spec = target_spec()
     del spec["born"], spec["models"]
     entry = read_target(stored(spec, "i-1"))
@@ -182,7 +183,7 @@
     read_or_refuse(read_report, body)
 
 
-def test_a_report_with_a_count_of_another_type_is_none():
+def test_a_report_whose_count_has_another_type_is_refused():
     assert read_report(REPORT).order_count == 4
     for value in (None, True, "4", 4.0, -1, [], 10**30):
         with pytest.raises(ValueError, match="seq"):
@@ -211,11 +212,11 @@
 
 
 @pytest.mark.parametrize("bad", BAD_OBJECTS, ids=lambda bad: f"{bad!r:.50}")
-def test_an_object_without_name_or_revision_costs_no_other(bad):
-    """A VM knows no targets at all, or never again hears of a change.
+def test_an_object_without_name_or_revision_affects_no_other(bad):
+    """One object without a readable name must not make the whole answer invalid.
 
-    One object of a page or of a watch's answer had no name that can be read; the whole
-    answer was refused, each time it was asked for again.
+    If the page or the watch's answer is refused each time it is requested again, the VM
+    knows no targets at all, or learns of no more changes.
     """
     good = {"metadata": {"name": "i-1", "revision": 3}, "spec": target_spec()}
     page = read_page({"items": [bad, good], "hasMore": False, "asOf": 9})
@@ -245,7 +246,7 @@
                 continue
 
 
-def test_an_object_with_a_name_is_kept_whatever_it_holds():
+def test_an_object_with_unreadable_content_is_kept_by_its_name():
     for content in ("x", 7, [], DEEP, {"x": "\udcff"}):
         record = stored(content, "i-1")
         assert record == StoredRecord("i-1", 3, None, None, unreadable=True)
--- a/hawthornlead/tests/test_odd_configurations.py
+++ b/hawthornlead/tests/test_odd_configurations.py
@@ -1,4 +1,4 @@
-"""Tests of configurations that can be read and have a part without sense."""
+"""Tests of valid configurations with a route that makes no sense."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 ODD = "/odd/"
 VERSION = 7
-# What callers may be told of a request on a part without sense: that it has not run.
+# Statuses that a caller may get on such a route. Both say that the request has not run.
 UNRUN = (503, 504)
 ODD_ROUTES = {
     "a service that isn't there": route("odd", ODD, "nowhere", "safe"),
@@ -29,7 +29,7 @@
 
 
 async def put_in_force(deployment: Deployment, *routes: dict) -> None:
-    """Let the operator write a configuration with further routes."""
+    """Write a configuration with further routes and wait until it is in force."""
     spec = configuration(VERSION, *routes)
     deployment.store.write(CONFIGURATION_KIND, CONFIGURATION_NAME, spec)
     gateway = deployment.gateways[0]
@@ -37,8 +37,8 @@
 
 
 @pytest.mark.parametrize("name", ODD_ROUTES)
-async def test_a_route_without_sense_refuses_truly_and_costs_no_other_route(name):
-    """Guards against a good configuration that is lost over one bad route."""
+async def test_an_unusable_route_refuses_requests_and_affects_no_other_route(name):
+    """Guards against a configuration that is not applied because of one bad route."""
     async with Deployment(vms=1) as deployment:
         await put_in_force(deployment, ODD_ROUTES[name])
         answer = await deployment.ask("/odd/x", "GET")
@@ -48,8 +48,8 @@
 
 
 @pytest.mark.parametrize("name", SERVED_ROUTES)
-async def test_a_route_with_an_odd_number_is_served_as_far_as_it_has_sense(name):
-    """Guards against a route that nobody serves over a number that can be read."""
+async def test_a_route_with_an_odd_number_is_served_where_possible(name):
+    """Guards against a route that isn't served because of a valid but odd number."""
     async with Deployment(vms=1) as deployment:
         odd = SERVED_ROUTES[name]
         await put_in_force(deployment, odd)
--- a/hawthornlead/tests/test_unreadable_records.py
+++ b/hawthornlead/tests/test_unreadable_records.py
@@ -1,4 +1,4 @@
-"""Tests of objects that turn unreadable, watched in the store and told by relays."""
+"""Tests of objects that become unreadable, watched in the store or relayed."""
 
 import asyncio
 
@@ -28,11 +28,11 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("bad", ["a text", ["a list"], {"service": 5}, {"x": "\ud800"}])
-async def test_the_watch_goes_on_after_an_unreadable_object(site, kind, bad):
-    """A VM hears of no change any more: of no target, no version, no configuration.
+async def test_the_watch_continues_after_an_unreadable_object(site, kind, bad):
+    """An object that can't be decoded must not end the watch of its kind.
 
-    One object of the kind was written by another writer and could not be decoded; the
-    error ended the task that watches the kind, and nothing was logged.
+    If the error ends the task that watches the kind, the VM learns of no more changes
+    of it, and nothing is logged.
     """
     vm = site.add("a")
     site.write_good(kind, "n1")
@@ -47,10 +47,11 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("raw", BAD_BYTES, ids=lambda raw: repr(raw[:20]))
-async def test_a_listing_holds_beside_an_unreadable_object(site, kind, raw):
-    """A VM that starts learns nothing of a kind, for as long as one object is spoilt.
+async def test_a_listing_is_applied_despite_an_unreadable_object(site, kind, raw):
+    """One unreadable object must not make a listing unusable.
 
-    The page of the listing that held the object was refused as a whole.
+    If the page with the object is refused as a whole, a VM that starts learns nothing
+    of the kind for as long as the object stays.
     """
     site.write_raw(kind, "n1", raw)
     if kind != CONFIGURATION_KIND:
@@ -63,11 +64,11 @@
     await site.agree()
 
 
-async def test_an_entry_that_turns_unreadable_names_no_engine_at_once(site):
-    """Requests are sent to an engine whose entry another writer has overwritten.
+async def test_an_entry_that_becomes_unreadable_is_removed_at_once(site):
+    """No request may go to an engine whose entry another writer has overwritten.
 
-    What was known of the entry before stayed in force. Nor is it kept as one that
-    lapsed while the store was away, for some seconds after the store is back.
+    The former entry must not stay in force. It must also not be kept for some seconds
+    after a store outage, as entries are that lapsed during the outage.
     """
     vm = site.add("a")
     site.write_good(TARGETS_KIND, "n1")
@@ -94,8 +95,8 @@
     assert not vm.targets._missing
 
 
-async def test_a_writer_that_goes_on_is_told_once(site):
-    """An operator's disk fills with lines of one entry that changes all the time."""
+async def test_repeated_unreadable_writes_are_logged_once(site):
+    """Guards against a log that fills up because one bad entry changes all the time."""
     vm = site.add("a")
     site.write_good(TARGETS_KIND, "n1")
     await site.agree()
@@ -129,7 +130,7 @@
     assert not vm.targets.entries
 
 
-async def test_an_object_without_a_name_is_told_once(site):
+async def test_objects_without_a_name_are_logged_once(site):
     vm = site.add("a")
     for number in range(3):
         raw = b'{"metadata": {"name": "\xff%d", "revision": REVISION}}' % number
@@ -143,10 +144,11 @@
     assert vm.counted(TARGETS_KIND) == 1
 
 
-async def test_a_page_without_a_name_to_go_on_from_removes_nobody(site):
-    """All engines after a page of spoilt names were taken as gone.
+async def test_a_page_without_a_name_to_continue_from_removes_no_target(site):
+    """A page of unreadable names must fail the listing.
 
-    The page was taken for the last one, and the listing for whole.
+    If the page counts as the last one, the listing looks complete, and all engines on
+    later pages look gone.
     """
     vm = site.add("a")
     for name in ("n1", "n2", "n3"):
@@ -161,21 +163,23 @@
     assert "n3" in vm.targets.entries
 
 
-async def test_vms_that_are_told_see_the_same(site):
-    """Some VMs go on sending to an engine that the others left at once.
+async def test_vms_that_learn_from_relays_see_the_same(site):
+    """VMs that learn from relays must also drop an engine whose entry is unreadable.
 
-    They don't watch the store themselves but are told by relays; what a relay could
-    not read it passed on to nobody, or it ended the task of who heard it.
+    They don't watch the store themselves. If a relay does not forward what it can't
+    read, or if that ends the receiver's task, they continue to send to the engine.
     """
     site.write_good(TARGETS_KIND, "n1")
     for name in "abcd":
         site.add(name)
     await site.agree()
-    told = await site.told()
-    assert len(told) == 2
+    subscribers = await site.told()
+    assert len(subscribers) == 2
     for kind in KINDS:
-        await site.until(lambda k=kind: all(vm.relays.vouched(k) for vm in told))
-        await site.until(lambda k=kind: not any(vm.watchers[k]._current for vm in told))
+        await site.until(lambda k=kind: all(vm.relays.vouched(k) for vm in subscribers))
+        await site.until(
+            lambda k=kind: not any(vm.watchers[k]._current for vm in subscribers)
+        )
     calls = len(site.store.calls)
     for bad in ("x", {"service": 5}, target_spec(state="odd")):
         site.write_bad(TARGETS_KIND, "n1", bad)
@@ -187,13 +191,13 @@
         await site.agree()
     for vm in site.vms:
         assert vm.counted(TARGETS_KIND) == vm.counted(VERSIONS_KIND) == 3
-    # The told ones learned it from relays and not by calls of their own: two relays
+    # The subscribers learned it from relays and not by calls of their own: two relays
     # watch two kinds, and each answer ends one call.
     assert len(site.store.calls) - calls <= 2 * 2 * 12
 
 
-async def test_what_a_relay_tells_and_nobody_can_read(site):
-    """A VM's handler fails, and the changes told beside the bad one are lost."""
+async def test_unreadable_relayed_changes(site):
+    """Guards against losing the changes that are relayed together with a bad one."""
     a, b = site.add("a"), site.add("b")
     await site.agree()
     sender = b.mesh.myself
@@ -210,11 +214,11 @@
     assert a.counted(TARGETS_KIND) == 4
 
 
-async def test_an_unreadable_vm_is_known_while_it_is_heard_and_mends_its_object(site):
-    """The VMs part from one another, and callers are sent to one VM only.
+async def test_a_vm_repairs_its_unreadable_object_and_is_known_meanwhile(site):
+    """VMs whose objects another writer has overwritten must stay known to each other.
 
-    Another writer spoilt their objects; what each VM knew of the others was dropped.
-    A VM that started later never learned of those whose objects stayed spoilt.
+    If each VM drops the others, they disconnect and callers are sent to one VM only.
+    If the objects are not repaired, a VM that starts later never learns of them.
     """
     a, b = site.add("a"), site.add("b")
     for vm in (a, b):
@@ -229,7 +233,7 @@
     await site.until(lambda: site.store.spec(VMS_KIND, "b") == good)
     c = site.add("c")
     await site.until(lambda: c.memberships.record_of("b") is not None)
-    # An object of one VM that names another one puts no other in its place.
+    # An object that names another VM must not replace that VM's own object.
     site.store.write(VMS_KIND, "z", good | {"caller_address": "10.9.9.9:1"})
     await site.until(lambda: a.counted(VMS_KIND) == 2)
     assert a.memberships.record_of("b").caller_address == good["caller_address"]
--- a/hawthornlead/tests/test_unreadable_series.py
+++ b/hawthornlead/tests/test_unreadable_series.py
@@ -1,4 +1,4 @@
-"""Series of whole and spoilt objects at random: all VMs believe the same of them."""
+"""Random series of valid and invalid objects, which all VMs must see alike."""
 
 import asyncio
 
@@ -36,7 +36,7 @@
 
 @pytest.fixture(scope="module")
 def running_site():
-    """A site of four VMs, two of which are told by relays, and its event loop."""
+    """A site of four VMs, two of which learn from relays, and its event loop."""
     with asyncio.Runner() as runner:
         site = runner.run(relayed_site())
         yield runner, site
@@ -50,7 +50,7 @@
     await site.agree()
     for what, *step in steps:
         if what in ("bad", "raw") and step[0] != TARGETS_KIND:
-            # What nobody saw before it was spoilt can't stay in force.
+            # An object stays in force only if the VMs saw it before it became invalid.
             await site.agree()
         if what == "settle":
             await site.agree()
--- a/hawthornlead/tests/test_whole_unreadable.py
+++ b/hawthornlead/tests/test_whole_unreadable.py
@@ -1,4 +1,4 @@
-"""Tests of whole gateways while another writer spoils objects of the store."""
+"""Tests of whole gateways while another writer makes store objects unreadable."""
 
 import asyncio
 
@@ -30,7 +30,7 @@
 
 
 class Callers:
-    """Callers that ask for streams of one model without a pause, until told to stop."""
+    """Callers that request streams of one model without a pause until ``stop``."""
 
     def __init__(self, deployment: Deployment):
         self._deployment = deployment
@@ -40,7 +40,7 @@
         self.tasks = [asyncio.create_task(self._ask_on(number)) for number in range(4)]
 
     async def stop(self) -> None:
-        """Wait for the last answers."""
+        """Stop the callers and wait for their last answers."""
         self._stopped = True
         await asyncio.gather(*self.tasks)
 
@@ -52,11 +52,11 @@
 
 
 @pytest.mark.parametrize("how", UNREADABLE)
-async def test_an_entry_that_turns_unreadable_while_requests_flow(how):
-    """Requests go to an engine whose entry names none any more, or to none at all.
+async def test_an_entry_that_becomes_unreadable_under_load(how):
+    """Another writer overwrites the entry of one of two engines.
 
-    Another writer overwrote the entry of one of two engines. VMs went on using it, or
-    the task that watches targets ended, and the VMs learned of no other change.
+    VMs must stop using that engine and learn of later changes. They don't if the former
+    entry stays in force, or if the error ends the task that watches targets.
     """
     async with Deployment() as deployment:
         first, second = deployment.engines
@@ -64,7 +64,7 @@
         await deployment.until(lambda: first.ran and second.ran)
         deployment.store.write(TARGETS_KIND, "e1", UNREADABLE[how](first.entry()))
         await deployment.until(lambda: not any(knows(deployment, "e1")))
-        # What was on its way when the entry turned is there after this.
+        # Requests that were under way when the entry changed arrive during this wait.
         await asyncio.sleep(0.1)
         ran, served = len(first.ran), len(second.ran)
         await deployment.until(lambda: len(second.ran) >= served + 30)
@@ -96,11 +96,12 @@
         assert len(second.ran) == 10
 
 
-async def test_an_object_of_each_kind_spoilt_stops_neither_answers_nor_orders():
-    """All answers end, or no adapter is loaded anywhere, after one spoilt object.
+async def test_an_unreadable_object_of_each_kind_stops_neither_answers_nor_orders():
+    """One unreadable object of each kind must not end the reader of that kind.
 
-    A reader of one kind ended at an object that it could not decode. The configuration,
-    versions, owners, leases and VMs of before hold; other engines get their orders.
+    The former configuration, versions, owners, leases and VMs must stay in force, and
+    other engines get their orders. Otherwise no request is answered, or no adapter is
+    loaded.
     """
     async with Deployment() as deployment:
         store, (_, second) = deployment.store, deployment.engines
@@ -118,7 +119,7 @@
             plain = await deployment.ask("/safe/x", "GET", vm=number % 2)
             assert plain.status == 200
         assert {order["adapter"] for order in second.orders} == {"b0", "b1", "b2"}
-        # Later changes of each kind are heeded.
+        # Later changes of each kind are applied.
         added = route("new", "/new/", "plain", "safe")
         store.write(CONFIGURATION_KIND, "main", configuration(10, added))
         key = (MODEL, "a1")
@@ -134,10 +135,10 @@
 
 
 async def test_an_object_larger_than_a_message_between_vms_ends_no_watch():
-    """VMs learn of no change any more once somebody wrote a very large object.
+    """An object larger than a message between VMs may be must not end the watch.
 
-    It was larger than a message between VMs may be; telling the others of it failed,
-    and the error ended the task that watches.
+    If the failure to relay it ends the task that watches, the VMs learn of no more
+    changes.
     """
     async with Deployment() as deployment:
         large = deployment.engines[0].entry() | {"further": "ä" * 400_000}
