--- a/hawthornlead/gateway/observed_targets.py
+++ b/hawthornlead/gateway/observed_targets.py
@@ -50,7 +50,7 @@
         self.owner = vm
         self.fence = holdings.fence
         self.turn_at = now + holdings.turn_s
-        self._recent.keep(holdings.recently_kept)
+        self._recent.set_limit(holdings.recently_kept)
         before = self._held
         held = holdings.adapters
         keys = map(AdapterKey, held.models, held.names)
