--- a/hawthornlead/gateway/target_tables.py
+++ b/hawthornlead/gateway/target_tables.py
@@ -243,8 +243,9 @@
         """Apply what an owner reports of its engine, unless a newer owner is known."""
         incarnation = Incarnation(holdings.target, holdings.started_ms)
         if self.observe_incarnation(incarnation, RestartSeen.WORD):
-            observed = self._observed_target(holdings.target)
-            observed.apply(vm, holdings, self._timers.now())
+            self._observed_target(holdings.target).apply(
+                vm, holdings, self._timers.now()
+            )
 
     def on_released(self, vm: str, target: str, fence: int) -> None:
         """Clear the owner of an engine that a VM released under a fence."""
