--- a/hawthornlead/gateway/gateways.py
+++ b/hawthornlead/gateway/gateways.py
@@ -117,7 +117,7 @@
         self._questions = self._make_questions()
         self._mesh.set_heartbeat(self._heartbeat)
         self._mesh.on(Hello, self._on_hello)
-        self._mesh.on_feed_changed = self._note_feed
+        self._mesh.on_upstream_changed = self._note_feed
 
     async def start(self) -> None:
         """Listen, and begin to learn from the store and the other VMs."""
@@ -320,7 +320,7 @@
             way=self._relays.way(CONFIGURATION_KIND),
         )
         self._parts.apply_configuration(configuration)
-        self._engine_manager.take(configuration)
+        self._engine_manager.apply_configuration(configuration)
         self._sweep()
 
     def _keep_configuration(self, name: str) -> None:
--- a/hawthornlead/tests/fakes_takeovers.py
+++ b/hawthornlead/tests/fakes_takeovers.py
@@ -1,4 +1,4 @@
-"""Scenes that several tests of a target's owners begin with."""
+"""Initial situations shared by several tests of a target's owners."""
 
 import asyncio
 
@@ -10,8 +10,8 @@
 async def owned_world(*args, **settings):
     """Return a world in which VM ``a`` owns the target and the allowance."""
     world = World(*args, **settings)
-    world.give("a", ALLOWANCE)
-    world.give("a")
+    world.assign("a", ALLOWANCE)
+    world.assign("a")
     await world.advance(1.0)
     return world
 
@@ -24,7 +24,11 @@
 
 
 async def freeze_at(world, place):
-    """Freeze owner ``a`` in an eviction, let ``c`` succeed it; return its waking."""
+    """Freeze owner ``a`` in an eviction and let ``c`` succeed it.
+
+    ``place`` names the point of the client at which it freezes. The returned event
+    wakes it.
+    """
     woken = asyncio.Event()
 
     async def freeze(op):
@@ -35,8 +39,8 @@
     world.acquire("a", "lap", wait_s=100)
     await world.advance(1)
     world.freeze("a")
-    world.give("c", ALLOWANCE, stopped=True)
-    world.give("c", stopped=True)
+    world.assign("c", ALLOWANCE, stopped=True)
+    world.assign("c", stopped=True)
     return woken
 
 
--- a/hawthornlead/tests/test_load_waits.py
+++ b/hawthornlead/tests/test_load_waits.py
@@ -1,4 +1,4 @@
-"""Tests of how long an owner lets a request wait for a slot, and of loads ahead."""
+"""Tests of how long an owner lets a request wait for a slot, and of prefetches."""
 
 from hawthornlead.errors import ErrorKind
 from hawthornlead.messages import AcquireLoad
@@ -8,8 +8,8 @@
 
 async def _world(**settings):
     world = World("ab", **settings)
-    world.give("a", ALLOWANCE)
-    world.give("a")
+    world.assign("a", ALLOWANCE)
+    world.assign("a")
     await world.advance(1.0)
     return world
 
@@ -27,9 +27,9 @@
 
 
 async def test_refused_at_once_or_soon_while_all_slots_stream():
-    """The one slot streams for a minute while other targets have room.
+    """Guards against a request that waits at a full target until its deadline.
 
-    An owner that let the request wait till its deadline would keep it from them.
+    The only slot runs a long stream while other targets have free slots.
     """
     world = await _world()
     await _streaming(world)
@@ -42,21 +42,21 @@
     assert soon.result().unwrap_err().kind is ErrorKind.NO_SLOT
 
 
-async def test_a_quiet_slot_under_a_grant_counts_as_room():
+async def test_an_idle_slot_under_a_grant_counts_as_free():
     world = await _world()
     grant = await _streaming(world)
     world.engine.end("r1")
     grant.finish("r1", ended=True)
     await world.advance(1.0)
-    asked = _acquire(world, "a", "lap", slot_wait_s=0.0)
+    request = _acquire(world, "a", "lap", slot_wait_s=0.0)
     await world.advance(2.0)
-    assert asked.result().is_ok()
+    assert request.result().is_ok()
 
 
-async def test_a_load_ahead_asks_no_grant_back():
-    """A second copy is wanted while the only slot serves.
+async def test_a_prefetch_revokes_no_grant():
+    """A second copy is prefetched while the only slot is in use.
 
-    Nobody waits for the copy, so no request may lose its grant for it.
+    No request waits for the copy, so none may lose its grant for it.
     """
     world = await _world()
     await _streaming(world)
@@ -66,11 +66,11 @@
     assert (await world.acquired("b", "tide", wait_s=1.0)).is_ok()
 
 
-async def test_no_load_ahead_takes_a_free_slot_in_a_store_outage():
-    """In a store outage requests for cold adapters are refused, though slots were free.
+async def test_no_prefetch_uses_a_free_slot_in_a_store_outage():
+    """Guards against refusals of cold adapters in a store outage.
 
-    A hot adapter was given spare copies during the outage. They filled the free
-    slots, and an owner whose lease ran out evicts nothing.
+    If extra copies of a hot adapter filled the free slots during the outage, no other
+    adapter would get one: an owner whose lease has lapsed evicts nothing.
     """
     world = await _world(slots=2)
     await _streaming(world)
@@ -79,46 +79,46 @@
     prefetched = _acquire(world, "a", "buoy", prefetch=True)
     await world.advance(1.0)
     assert prefetched.result().unwrap_err().kind is ErrorKind.NO_SLOT
-    wanted = _acquire(world, "a", "lap")
+    pending = _acquire(world, "a", "lap")
     await world.advance(3.0)
-    assert wanted.result().is_ok()
+    assert pending.result().is_ok()
 
 
 async def test_a_full_target_refuses_soon_in_a_store_outage():
-    """A caller is told only at its deadline that its cold adapter has no slot.
+    """Guards against a useless wait until the deadline in a store outage.
 
-    All slots are taken when the store goes out. Its owner evicts nothing from then
-    on, so that no wait could have helped, and let the request wait all the same.
+    All slots are in use when the outage starts, and the owner evicts nothing from then
+    on, so no wait for a slot can help.
     """
     world = await _world()
     await _streaming(world)
     world.degrade("a", ALLOWANCE)
     world.degrade("a")
-    wanted = _acquire(world, "a", "lap")
+    pending = _acquire(world, "a", "lap")
     await world.advance(3.0)
-    assert not wanted.done()
+    assert not pending.done()
     await world.advance(3.0)
-    refused = wanted.result().unwrap_err()
+    refused = pending.result().unwrap_err()
     assert refused.kind is ErrorKind.NO_SLOT
     assert refused.retry_after_s >= 10
 
 
-async def test_a_request_that_joins_a_load_ahead_does_not_stand_last():
-    """A load ahead waits for leave, a request joins it, and others keep coming.
+async def test_a_request_that_joins_a_prefetch_is_not_sorted_last():
+    """Guards against a load that stays last although a request waits for it.
 
-    Were the load still sorted as one that nobody waits for, all later ones would
-    go before it. It asks anew, with the number of its requests.
+    A request joins a prefetch that waits for its permit, while other loads keep coming.
+    The load requests its permit again with the number of its requests.
     """
     world = await _world(LOADS_PER_S=0.4, LOADS_AT_ONCE=1)
     world.engine.slots = 2
-    told = []
+    permit_requests = []
     allowances = world.vms["a"].allowances
 
-    async def note(sender, ask: AcquireLoad):
-        told.append((ask.adapter, ask.waiting))
-        return await allowances._on_acquire(sender, ask)
+    async def record(sender, message: AcquireLoad):
+        permit_requests.append((message.adapter, message.waiting))
+        return await allowances._on_acquire(sender, message)
 
-    world.vms["a"].mesh.on(AcquireLoad, note)
+    world.vms["a"].mesh.on(AcquireLoad, record)
     (await world.acquired("b", "tide")).unwrap()
     await world.advance(0.6)
     prefetched = _acquire(world, "a", "lap", prefetch=True)
@@ -126,13 +126,14 @@
     joined = _acquire(world, "b", "lap")
     await world.advance(3.0)
     assert joined.result().is_ok() and prefetched.done()
-    assert told == [("tide", 1), ("lap", 0), ("lap", 1)]
+    assert permit_requests == [("tide", 1), ("lap", 0), ("lap", 1)]
 
 
-async def test_states_tell_loads_that_wait_for_leave():
-    """Two VMs miss the same adapter while the weight store is busy.
+async def test_states_announce_loads_that_wait_for_a_permit():
+    """Guards against two loads of one adapter on different targets.
 
-    Were the first load told only once it runs, the second VM would place another.
+    Two VMs need the same adapter while the weight store is busy. If the first load
+    were announced only when it runs, the second VM would place another.
     """
     world = await _world(LOADS_PER_S=0.4, LOADS_AT_ONCE=1)
     world.engine.slots = 2
@@ -140,15 +141,16 @@
     await world.advance(0.6)
     _acquire(world, "b", "lap")
     await world.advance(0.2)
-    told = world.vms["a"].targets.targets["engine"].state(0).residents
-    assert ("lap", "1", 0, True) in told and len(told) == 2
+    permit_requests = world.vms["a"].targets.targets["engine"].state(0).residents
+    assert ("lap", "1", 0, True) in permit_requests and len(permit_requests) == 2
 
 
-async def test_a_one_off_under_an_idle_grant_goes_before_a_hot_adapter():
-    """A one-off has just ended; its grant is kept for some seconds more.
+async def test_an_adapter_used_once_is_evicted_before_a_hot_one():
+    """Guards against the eviction of a hot adapter in place of one used once.
 
-    Were only slots without grants weighed, the hot adapter would be evicted, which
-    nobody has asked for in the last seconds, and its next requests wait for a load.
+    The request for the other adapter has just ended, and its grant is kept for some
+    seconds. The hot adapter had no request in the last seconds and has no grant. If
+    only slots without grants were considered, the hot one would be evicted.
     """
     world = await _world()
     world.engine.slots = 2
