--- a/hawthornlead/gateway/loss_detectors.py
+++ b/hawthornlead/gateway/loss_detectors.py
@@ -131,10 +131,9 @@
         """Probe a silent target for as long as requests wait there."""
         while liveness.subscribers and liveness.strong_proof is None:
             now = self._timers.now()
-            probe_at = max(
-                liveness.silent_since + PROBE_AFTER_S, liveness.next_probe_at
+            wait_s = (
+                max(liveness.silent_since + PROBE_AFTER_S, liveness.next_probe_at) - now
             )
-            wait_s = probe_at - now
             if wait_s <= 0:
                 await self._probe_once(liveness)
                 continue
