--- a/hawthornlead/engines/allowances.py
+++ b/hawthornlead/engines/allowances.py
@@ -56,6 +56,8 @@
 
 
 class _Waiter:
+    """A request that waits for its permit, woken by ``changed``."""
+
     def __init__(self, request: LoadRequest):
         self.request = request
         self.changed = Signal()
@@ -87,7 +89,7 @@
         self._weight_store = weight_store
         self._ownership = ownership
         self._stopped = False
-        self._ends_at: dict[str, float] = {}
+        self._permits_end_at: dict[str, float] = {}
         self._pacer = LoadPacer()
         self._waiters: list[_Waiter] = []
         self._opens_at = ownership.taken_at
@@ -98,7 +100,7 @@
     def outstanding(self) -> int:
         """How many permits have not ended."""
         self._expire_permits()
-        return len(self._ends_at)
+        return len(self._permits_end_at)
 
     @property
     def opens_at(self) -> float:
@@ -108,7 +110,7 @@
     def stop(self) -> None:
         """Issue no more permits; all that wait are refused."""
         self._stopped = True
-        self._wake()
+        self._wake_waiters()
 
     async def acquire(self, permit_request: AcquireLoad) -> Result[LoadPermit, Failure]:
         """Wait ``permit_request.wait_s`` at most for a permit, or refuse at once."""
@@ -136,21 +138,21 @@
                 now = self._timers.now()
                 if now >= deadline_at:
                     return self._refusal("no permit in time", self.expected_wait_s())
-                pause = self._delay_s()
-                if pause <= 0 and self._next_waiter() is waiter:
+                delay = self._delay_s()
+                if delay <= 0 and self._next_waiter() is waiter:
                     return Ok(self._issue(now - requested_at))
-                pause = min(deadline_at - now, max(pause, 0.001))
-                await waiter.changed.wait(self._timers, pause)
+                delay = min(deadline_at - now, max(delay, 0.001))
+                await waiter.changed.wait(self._timers, delay)
         finally:
             self._waiters.remove(waiter)
-            self._wake()
+            self._wake_waiters()
 
     def release(self, permit_id: str, loaded: bool) -> None:
         """End a permit, whether its load succeeded or not."""
         self._pacer.record_end(permit_id, self._timers.now(), loaded)
-        if self._ends_at.pop(permit_id, None) is not None:
+        if self._permits_end_at.pop(permit_id, None) is not None:
             self._update_gauge()
-            self._wake()
+            self._wake_waiters()
 
     def expected_wait_s(self) -> float:
         """Estimate how long a new requester would wait, from the queue and the rate."""
@@ -177,8 +179,8 @@
         return self._settings["LOADS_PER_S"] * share
 
     def _max_concurrent(self) -> int:
-        whole = self._settings["LOADS_AT_ONCE"]
-        return max(1, whole // 2) if self._is_halved() else whole
+        full_limit = self._settings["LOADS_AT_ONCE"]
+        return max(1, full_limit // 2) if self._is_halved() else full_limit
 
     def _permit_lifetime_s(self) -> float:
         error = self._settings["CLOCK_RATE_ERROR"]
@@ -188,25 +190,25 @@
         """Return how long until a permit may be issued, by what is known now."""
         self._expire_permits()
         now = self._timers.now()
-        pause = self._opens_at - now
-        if len(self._ends_at) >= self._max_concurrent():
-            pause = max(pause, min(self._ends_at.values()) - now)
-        # At most `loads` starts in any `span` seconds. After an idle time several
-        # loads may start together, without exceeding the rate.
+        delay = self._opens_at - now
+        if len(self._permits_end_at) >= self._max_concurrent():
+            delay = max(delay, min(self._permits_end_at.values()) - now)
+        # At most `loads` starts in any `window_s` seconds. So LOADS_AT_ONCE loads may
+        # start together after an idle time, without exceeding the rate.
         loads = max(1, int(self._rate()))
-        span = loads / self._rate()
-        return max(pause, self._pacer.delay_s(loads, span, now))
+        window_s = loads / self._rate()
+        return max(delay, self._pacer.delay_s(loads, window_s, now))
 
     def _issue(self, waited_s: float) -> LoadPermit:
         now = self._timers.now()
         permit_id = f"{self._ownership.fence}-{self._rng.getrandbits(64):016x}"
-        self._ends_at[permit_id] = now + self._permit_lifetime_s()
+        self._permits_end_at[permit_id] = now + self._permit_lifetime_s()
         self._pacer.record_permit(permit_id, now)
         self._invariants.check(
             "allowance-not-exceeded",
-            len(self._ends_at) <= self._settings["LOADS_AT_ONCE"]
+            len(self._permits_end_at) <= self._settings["LOADS_AT_ONCE"]
             and now >= self._opens_at,
-            f"{self._weight_store} out={len(self._ends_at)}",
+            f"{self._weight_store} out={len(self._permits_end_at)}",
         )
         self._update_gauge()
         return LoadPermit(permit_id, waited_s + START_TIMEOUT_S)
@@ -216,18 +218,18 @@
 
     def _expire_permits(self) -> None:
         now = self._timers.now()
-        for permit_id, ends_at in list(self._ends_at.items()):
+        for permit_id, ends_at in list(self._permits_end_at.items()):
             if now >= ends_at:
-                del self._ends_at[permit_id]
+                del self._permits_end_at[permit_id]
                 self._pacer.record_end(permit_id, now, loaded=False)
 
-    def _wake(self) -> None:
+    def _wake_waiters(self) -> None:
         for waiter in self._waiters:
             waiter.changed.fire()
 
     def _update_gauge(self) -> None:
         gauge = self._metrics.load_permits.labels(self._weight_store)
-        gauge.set(len(self._ends_at))
+        gauge.set(len(self._permits_end_at))
 
     def _refusal(self, detail: str, retry_after_s: float) -> Err[Failure]:
         return Err(Failure(ErrorKind.OVERLOADED, detail, retry_after_s))
--- a/hawthornlead/engines/evict_guards.py
+++ b/hawthornlead/engines/evict_guards.py
@@ -37,8 +37,8 @@
         self._fenced_at: float | None = None
         self._first_fenced_at: float | None = None
         # The incarnation of the target that accepted the fence order.
-        self._fenced_boot = ""
-        self._stopped = ownership.predecessor_stopped
+        self._fenced_boot_id = ""
+        self._predecessor_stopped = ownership.predecessor_stopped
         self._ready = False
         self._orders_end_at = ownership.orders_end_at
         # Nobody owned the target before, so no other grants or orders exist.
@@ -48,8 +48,8 @@
         # requests could lose their adapters. So grants on all adapters are assumed
         # until they must have expired.
         if self._is_first_owner:
-            self._stopped = True
-        elif self._stopped:
+            self._predecessor_stopped = True
+        elif self._predecessor_stopped:
             self._assume_grants_since(ownership.taken_at)
         else:
             ledger.assume_unknown_until(None)
@@ -72,7 +72,7 @@
         if self._fencing:
             return self._is_fenced
         # OWN-8, OWN-9: "stopped" covers all earlier owners, not only the last.
-        return self._stopped
+        return self._predecessor_stopped
 
     @property
     def ready(self) -> bool:
@@ -87,13 +87,14 @@
         that ignores fencing numbers these orders must have ended.
         """
         if self._fencing:
-            # OWN-7: a request granted before the fence order was accepted could be hit
-            # by an eviction that a frozen predecessor sends now, or sent before.
+            # OWN-7: a request granted before the fence order was accepted could lose
+            # its adapter to an eviction that a frozen predecessor sends now, or sent
+            # before.
             return self._first_fenced_at if self._is_fenced else None
         if self._right_since is None:
             return None
         # GRA-8: a predecessor that died or shut down may have sent an eviction just
-        # before. It would hit a request that was granted at once.
+        # before. It would evict the adapter of a request that was granted at once.
         return max(self._right_since, self._orders_end_at)
 
     @property
@@ -105,7 +106,7 @@
         """
         if self._first_fenced_at is None:
             return False
-        return self._clock.boot_id in (None, self._fenced_boot)
+        return self._clock.boot_id in (None, self._fenced_boot_id)
 
     def record_right(self) -> None:
         """Record that this owner has the right to order."""
@@ -120,14 +121,14 @@
         """
         if self._clock.boot_id not in (None, boot_id):
             return False
-        if boot_id != self._fenced_boot:
-            self._fenced_boot = boot_id
+        if boot_id != self._fenced_boot_id:
+            self._fenced_boot_id = boot_id
             self._first_fenced_at = None
         self._fenced_at = sent_at
         if self._first_fenced_at is not None:
             return True
         self._first_fenced_at = answered_at
-        if not self._stopped:
+        if not self._predecessor_stopped:
             # OWN-10: the predecessor's last accepted fence order may just precede ours,
             # and it may grant for FENCE_MAX_AGE_S after it. Its last grant must have
             # expired too before anything is evicted.
@@ -149,9 +150,9 @@
 
         Grants that it issued until now expire like any other unknown grant.
         """
-        if self._stopped:
+        if self._predecessor_stopped:
             return
-        self._stopped = True
+        self._predecessor_stopped = True
         if not self._is_fenced:
             self._assume_grants_since(self._timers.now())
 
--- a/hawthornlead/engines/exchanges.py
+++ b/hawthornlead/engines/exchanges.py
@@ -148,10 +148,10 @@
     async def read_to_end(self, silence_timeout_s: float) -> Result[None, Failure]:
         """Wait for the response to end, or for ``silence_timeout_s`` without bytes."""
         while not self._reading.done():
-            left = self._last_active_at + silence_timeout_s - self._timers.now()
-            if left <= 0:
+            remaining_s = self._last_active_at + silence_timeout_s - self._timers.now()
+            if remaining_s <= 0:
                 return self._abort_silent(f"silent for {silence_timeout_s:.1f} s")
-            await asyncio.wait([self._reading], timeout=left)
+            await asyncio.wait([self._reading], timeout=remaining_s)
         if not self._response.finished:
             self.close()
             return Err(_lost(self._address, "closed within its answer"))
--- a/hawthornlead/engines/grant_ledgers.py
+++ b/hawthornlead/engines/grant_ledgers.py
@@ -182,8 +182,8 @@
             if grant.key in running:
                 continue
             # GRA-5: a request sent at the end of the grant is under way for up to
-            # MAX_SEND_S. An earlier report shows nothing running, and the eviction
-            # would hit the request as it arrives.
+            # MAX_SEND_S. An earlier report shows nothing running, and the request would
+            # arrive after the eviction.
             if self._clock.proves_after(report.as_of, self._arrived_by(grant)):
                 del self._expired[grant.grant_id]
         self._observe_unknown(report, running)
--- a/hawthornlead/engines/load_permits.py
+++ b/hawthornlead/engines/load_permits.py
@@ -42,14 +42,14 @@
     async def acquire(self, load: Load) -> Result[Permit, Failure] | None:
         """Acquire a permit; None if requests joined a prefetch meanwhile."""
         requested_at = self._timers.now()
-        left = load.deadline_at - requested_at
+        remaining_s = load.latest_deadline_at - requested_at
         prefetch = load.requests == 0
         reply = await self._allowances.acquire(
             self._weight_store,
             self._target,
             load.key,
             load.priority,
-            min(left, PREFETCH_TIMEOUT_S) if prefetch else left,
+            min(remaining_s, PREFETCH_TIMEOUT_S) if prefetch else remaining_s,
             load.requests,
         )
         if isinstance(reply, Err) and prefetch and load.requests > 0:
--- a/hawthornlead/engines/load_queues.py
+++ b/hawthornlead/engines/load_queues.py
@@ -18,14 +18,14 @@
 class Load:
     """One queued load; ``outcome`` holds its Result when it has ended."""
 
-    def __init__(self, key: AdapterVersion, base_model: str, asked_at: float):
+    def __init__(self, key: AdapterVersion, base_model: str, requested_at: float):
         self.key = key
         self.base_model = base_model
-        self.requested_at = asked_at
+        self.requested_at = requested_at
         self.priority = 0
         # The earliest deadline of the waiting requests, and the latest of all waiters.
-        self.due_at = math.inf
-        self.deadline_at = asked_at
+        self.earliest_deadline_at = math.inf
+        self.latest_deadline_at = requested_at
         self.waiting = 0
         # How many of the waiters only prefetch, with no request behind them.
         self.prefetching = 0
@@ -47,7 +47,7 @@
             self.key.adapter,
             self.key.version,
             self.priority,
-            self.due_at,
+            self.earliest_deadline_at,
             self.requested_at,
             self.requests,
         )
@@ -87,8 +87,8 @@
         load.prefetching += prefetch
         load.priority = max(load.priority, priority)
         if not prefetch:
-            load.due_at = min(load.due_at, deadline_at)
-        load.deadline_at = max(load.deadline_at, deadline_at)
+            load.earliest_deadline_at = min(load.earliest_deadline_at, deadline_at)
+        load.latest_deadline_at = max(load.latest_deadline_at, deadline_at)
         return load
 
     def leave(self, load: Load, prefetch: bool = False) -> bool:
--- a/hawthornlead/engines/loaders.py
+++ b/hawthornlead/engines/loaders.py
@@ -78,12 +78,14 @@
         # Permits of loads whose outcome is unknown; they expire or end at a restart.
         self._unsettled_permits: list[Permit] = []
         self._stopped = False
-        self._mean_s = core.settings["LOADS_AT_ONCE"] / core.settings["LOADS_PER_S"]
+        self._mean_load_s = (
+            core.settings["LOADS_AT_ONCE"] / core.settings["LOADS_PER_S"]
+        )
 
     def estimate_s(self, key: AdapterVersion) -> float:
         """Return how long a request for ``key`` would wait for its load."""
         turns = self._queue.ahead_of(key) // self._settings["LOADS_AT_ONCE"] + 1
-        return turns * self._mean_s + self._load_permits.expected_s
+        return turns * self._mean_load_s + self._load_permits.expected_s
 
     def can_load(self, key: AdapterVersion, loads_before: int = 0) -> bool:
         """Whether ``key`` has a slot, or may soon have one after other loads.
@@ -158,16 +160,16 @@
             permit = acquired.ok_value
             needed = self._residency.get(load.key) is None and self._orders.ready
             if needed and await self._reclaimer.free_slot():
-                return await self._load(load, permit)
+                return await self._order_load(load, permit)
             self._allowances.release(permit, loaded=False)
         return self._no_slot("no slot became free")
 
     async def _wait_for_slot(self, load: Load) -> Result[bool, Failure]:
         """Wait until a slot can be had; Ok(True) if the adapter is resident already."""
-        began = self._timers.now()
+        wait_started_at = self._timers.now()
         while True:
-            left = load.deadline_at - self._timers.now()
-            if load.waiting <= 0 or left <= 0:
+            remaining_s = load.latest_deadline_at - self._timers.now()
+            if load.waiting <= 0 or remaining_s <= 0:
                 return self._no_slot("no slot became free in time")
             if self._orders.right() is OrderRight.NONE:
                 return Err(Failure(ErrorKind.NO_GRANT, "the owner lost its right"))
@@ -179,7 +181,7 @@
                     return Ok(False)
                 if load.requests == 0:
                     return self._no_slot("no slot is free for a prefetch")
-                waited_s = self._timers.now() - began
+                waited_s = self._timers.now() - wait_started_at
                 degraded = self._orders.right() is OrderRight.DEGRADED
                 if degraded and waited_s >= self._settings["OWNER_WAIT_S"]:
                     # No slot becomes free while nothing may be evicted. If the outage
@@ -189,7 +191,9 @@
                     failure = Failure(ErrorKind.NO_SLOT, detail, OUTAGE_RETRY_S)
                     return Err(failure)
                 self._reclaimer.drain_one(len(self._running))
-            await self._changed.wait(self._timers, min(left, RIGHT_CHECK_INTERVAL_S))
+            await self._changed.wait(
+                self._timers, min(remaining_s, RIGHT_CHECK_INTERVAL_S)
+            )
 
     def _reuse_slot(self, slot: Slot, load: Load) -> bool:
         """Whether the adapter's slot can be used; holds it for the load's requests.
@@ -210,7 +214,7 @@
         slot.awaiting_grant += load.waiting
         load.slot = slot
 
-    async def _load(self, load: Load, permit: Permit) -> Result[None, Failure]:
+    async def _order_load(self, load: Load, permit: Permit) -> Result[None, Failure]:
         slot = self._residency.start_load(load.key, load.base_model)
         started_at = self._timers.now()
         self._events.emit(EventKind.LOAD_STARTED, self._target, adapter=load.key)
@@ -242,7 +246,7 @@
             self._hold_slot(slot, load)
             self._allowances.release(permit, loaded=True)
             self._queue.record_success(load.key)
-            self._mean_s += MEAN_WEIGHT * (now - started_at - self._mean_s)
+            self._mean_load_s += MEAN_WEIGHT * (now - started_at - self._mean_load_s)
             self._events.emit(
                 EventKind.LOAD_ENDED,
                 self._target,
@@ -293,7 +297,7 @@
             self._queue.record_failure(load.key, self._timers.now())
 
     def _no_slot(self, detail: str) -> Err[Failure]:
-        return Err(Failure(ErrorKind.NO_SLOT, detail, retry_after_s=self._mean_s))
+        return Err(Failure(ErrorKind.NO_SLOT, detail, retry_after_s=self._mean_load_s))
 
 
 # The error kinds that waiting requests get when their load fails. The request itself
--- a/hawthornlead/engines/suspect_reservations.py
+++ b/hawthornlead/engines/suspect_reservations.py
@@ -63,7 +63,7 @@
         return reply.map(lambda _: None)
 
     def release(self, view: TargetView, request_id: str) -> None:
-        """Release a reservation, if one is held; if that is lost, it expires."""
+        """Release a held reservation; if the message is lost, it expires."""
         owner_vm = self._owner_vms.pop(request_id, None)
         if owner_vm is not None:
             send(self._mesh, owner_vm, ReleaseSuspectSlot(view.target, request_id))
--- a/hawthornlead/engines/target_deaths.py
+++ b/hawthornlead/engines/target_deaths.py
@@ -86,9 +86,9 @@
             if health.err_value.kind is not ErrorKind.TARGET_UNREACHABLE:
                 return
         else:
-            now = health.ok_value.boot_id
-            self.record_boot_id(view.target, now)
-            if attempt.boot_id in ("", now):
+            current_boot_id = health.ok_value.boot_id
+            self.record_boot_id(view.target, current_boot_id)
+            if attempt.boot_id in ("", current_boot_id):
                 return
         self._report_death(view, attempt.boot_id, tuple(sorted(fingerprints)), failure)
 
--- a/hawthornlead/engines/target_owners.py
+++ b/hawthornlead/engines/target_owners.py
@@ -217,8 +217,9 @@
         for name, owner in self._targets.items():
             announced = self._announced[name]
             state = owner.state(announced.serial)
-            if now - announced.at < reannounce_interval_s and not _differs(
-                announced.state, state
+            if (
+                now - announced.at < reannounce_interval_s
+                and not _routing_state_changed(announced.state, state)
             ):
                 continue
             announced.serial += 1
@@ -275,7 +276,7 @@
     return str(entry.attributes.get("weight_store") or DEFAULT_WEIGHT_STORE)
 
 
-def _differs(announced: TargetState | None, state: TargetState) -> bool:
+def _routing_state_changed(announced: TargetState | None, state: TargetState) -> bool:
     """Whether what routing depends on has changed; changed counts can wait."""
     if announced is None or (announced.slots, announced.leaving) != (
         state.slots,
--- a/hawthornlead/engines/target_pollers.py
+++ b/hawthornlead/engines/target_pollers.py
@@ -21,7 +21,7 @@
 # has to prove something.
 PROBE_INTERVAL_S = 2.0
 # After this many unanswered calls in a row the target counts as silent.
-MAX_MISSED_CALLS = 3
+SILENT_AFTER_MISSED_CALLS = 3
 
 
 class TargetPoller:
@@ -51,7 +51,7 @@
         self._residency = residency
         self._guard = guard
         self._on_restart = on_restart
-        self._missed = 0
+        self._missed_calls = 0
         self._probe_requested = True
         self._running = 0
         self._queued = 0
@@ -59,7 +59,7 @@
     @property
     def silent(self) -> bool:
         """Whether the target no longer answers."""
-        return self._missed >= MAX_MISSED_CALLS
+        return self._missed_calls >= SILENT_AFTER_MISSED_CALLS
 
     @property
     def running(self) -> int:
@@ -136,7 +136,7 @@
 
     def _record_answer(self, got_answer: bool) -> None:
         was_silent = self.silent
-        self._missed = 0 if got_answer else self._missed + 1
+        self._missed_calls = 0 if got_answer else self._missed_calls + 1
         if self.silent == was_silent:
             return
         kind = EventKind.TARGET_SILENT if self.silent else EventKind.TARGET_ANSWERS
