--- a/hawthornlead/__init__.py
+++ b/hawthornlead/__init__.py
@@ -1,3 +1,3 @@
-"""Serve answers from base models dressed in very many small LoRA adapters."""
+"""Serve answers from base models with very many small LoRA adapters."""
 
 __version__ = "0.1.0"
--- a/hawthornlead/clocks.py
+++ b/hawthornlead/clocks.py
@@ -1,7 +1,7 @@
-"""Hybrid logical clocks, which order events over VMs whose clocks differ.
+"""Hybrid logical clocks, which order events of VMs whose wall clocks differ.
 
-Every message between VMs carries its sender's time and the receiver moves its own
-clock past it, so that a cause always sorts before its effect in the time line.
+Every message between VMs carries its sender's time, and the receiver advances its own
+clock past it. So a cause always sorts before its effect in the timeline.
 """
 
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 
 
 class HybridTime(NamedTuple):
-    """A hybrid logical time: wall milliseconds, then a counter within them."""
+    """A hybrid logical time: milliseconds of the wall clock, then a counter."""
 
     wall_ms: int
     logical: int
@@ -25,11 +25,11 @@
 
     @property
     def last(self) -> HybridTime:
-        """The newest time that was given out or observed."""
+        """The newest time that was returned or observed."""
         return self._last
 
     def tick(self) -> HybridTime:
-        """Return a time later than every one given out or observed before."""
+        """Return a time later than all that were returned or observed before."""
         wall_ms = int(self._timers.wall() * 1000)
         if wall_ms > self._last.wall_ms:
             self._last = HybridTime(wall_ms, 0)
@@ -38,5 +38,5 @@
         return self._last
 
     def observe(self, other: HybridTime) -> None:
-        """Move past a time that came with a message."""
+        """Advance the clock past the time in a message."""
         self._last = max(self._last, HybridTime(*other))
--- a/hawthornlead/core_parts.py
+++ b/hawthornlead/core_parts.py
@@ -1,7 +1,7 @@
-"""What nearly every part of a process is handed: settings, time, events, metrics.
+"""The objects that nearly every component needs: settings, timers, events, metrics.
 
-A part that needs most of them takes them as one; a part that embeds on its own, like
-those of the library, takes them one by one::
+A component that needs most of them takes them as one ``CoreParts``. A component that
+other programs embed, such as those of the library, takes them separately::
 
     core = build_core(settings, Random(seed))
     claims = Claims(core=core, store=store, mesh=mesh, members=members)
@@ -19,7 +19,7 @@
 
 
 class CoreParts(NamedTuple):
-    """The collaborators of nearly all parts, one of each in a process."""
+    """The objects that nearly all components share, one of each per process."""
 
     settings: Settings
     timers: TimerService
@@ -33,7 +33,7 @@
 def build_core(
     settings: Settings, rng: Random, timers: TimerService | None = None
 ) -> CoreParts:
-    """Build them from the settings, on a timer service of its own if none is given."""
+    """Build the core parts from settings, with a new timer service if none is given."""
     timers = timers or TimerService()
     metrics = Metrics()
     clock = HybridClock(timers)
--- a/hawthornlead/early_signals.py
+++ b/hawthornlead/early_signals.py
@@ -1,7 +1,7 @@
-"""Signals that come while the program is still being loaded.
+"""Handles signals that arrive while the program is still being loaded.
 
-Imported before everything else, so that what it guards against can happen as shortly as
-possible::
+This module is imported before all others, so that the time in which such a signal ends
+the process is as short as possible::
 
     hold_reloads(sys.argv[1:])
 """
@@ -11,10 +11,11 @@
 
 
 def hold_reloads(arguments: Sequence[str]) -> None:
-    """Let the signal to read the settings again not end a gateway that starts.
+    """Ignore the signal to reload the settings while a gateway starts.
 
-    A VM whose settings change as it starts gets it before it heeds it, and would end by
-    it. Loading takes some 0.1 s; the settings are read after that, as they are then.
+    If the settings change during the start, the signal arrives before its handler is
+    installed and would end the process. Loading takes some 0.1 s, and the settings are
+    read after that, so no change is lost.
     """
     if arguments[:1] == ["gateway"]:
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
--- a/hawthornlead/errors.py
+++ b/hawthornlead/errors.py
@@ -1,8 +1,8 @@
-"""The closed list of error kinds, and the table from a kind to its answer.
+"""The complete list of error kinds, and how each is answered.
 
-Every refusal that a caller or an operator sees is a ``Failure`` of one of these
-kinds. The table says which HTTP status answers it and what is known about
-whether the request ran, so that no other module decides that on its own::
+Every refusal that a caller or an operator sees is a ``Failure`` of one of these kinds.
+Only the table ``ANSWERS`` decides its HTTP status, and what it says about whether the
+request ran::
 
     return Err(Failure(ErrorKind.OVERLOADED, "queue is full", retry_after_s=0.5))
 """
@@ -70,8 +70,8 @@
 class Answer(NamedTuple):
     """How one kind of error is answered.
 
-    ``status`` is the HTTP status, ``ran`` what is known of the run of this try and
-    ``retry`` whether the layer itself may try another target within its budget.
+    ``status`` is the HTTP status, ``ran`` what is known about whether this attempt ran,
+    and ``retry`` whether the layer itself may try another target within its budget.
     """
 
     status: int
@@ -130,13 +130,14 @@
 
 
 class Failure(NamedTuple):
-    """One failure: its kind, a sentence for a person, and when to come back.
+    """One failure: its kind, a text for people, and when to retry.
 
-    ``retry_after_s`` is in seconds, or None where coming back does not help.
+    ``retry_after_s`` is in seconds, or None if a retry does not help.
     ``addresses`` names other entry addresses that may be tried. ``claim_read`` tells
-    whether the claim on the request's idempotency key was read before this answer:
-    what it says of the run is of this try, and only then of the key's others too.
-    ``refused`` tells that a connection was refused: nobody listens at that address.
+    whether the claim on the request's idempotency key was read before this answer. Only
+    then what the answer says about the run holds for all attempts with the key, and
+    otherwise just for this one. ``refused`` tells that a connection was refused, so
+    nobody listens at that address.
     """
 
     kind: ErrorKind
--- a/hawthornlead/event_loops.py
+++ b/hawthornlead/event_loops.py
@@ -1,4 +1,4 @@
-"""The event loop of a gateway: uvloop's, without io_uring.
+"""The event loop of a gateway: uvloop without io_uring.
 
 ::
 
@@ -11,10 +11,10 @@
 
 
 def new_runner() -> asyncio.Runner:
-    """Return a runner of asyncio on uvloop's event loop.
+    """Return an asyncio runner on uvloop's event loop.
 
-    A process may not use io_uring, which libuv opens on its own unless this variable
-    stands in the environment before the library is loaded.
+    The process may not use io_uring. libuv uses it unless this variable is set in the
+    environment before the library is loaded.
     """
     os.environ["UV_USE_IO_URING"] = "0"
     import uvloop
--- a/hawthornlead/hashes.py
+++ b/hawthornlead/hashes.py
@@ -1,4 +1,4 @@
-"""Hashes that all VMs agree on, the one text of a value, and rendezvous hashing."""
+"""Hashes that are the same on all VMs, canonical JSON and rendezvous hashing."""
 
 import hashlib
 import json
@@ -7,13 +7,13 @@
 
 
 def canonical(value: Any) -> bytes:
-    """Return the one JSON text of a value: sorted keys, no spaces, UTF-8."""
+    """Return the canonical JSON of a value: sorted keys, no spaces, UTF-8."""
     text = json.dumps(value, sort_keys=True, separators=(",", ":"), ensure_ascii=False)
     return text.encode()
 
 
 def digest64(*parts: str) -> int:
-    """Return 64 bits that depend on every part and on where each one ends."""
+    """Return a 64-bit hash of the parts, which depends on where each part ends."""
     digest = hashlib.blake2b(digest_size=8)
     for part in parts:
         encoded = part.encode()
@@ -23,8 +23,8 @@
 
 
 def rendezvous(key: str, names: Iterable[str]) -> list[str]:
-    """Return ``names`` in the order in which they should hold ``key``, best first.
+    """Return ``names`` in the order of preference to hold ``key``, best first.
 
-    When a name goes, only the keys that it came first for move.
+    When a name is removed, only the keys for which it came first move.
     """
     return sorted(names, key=lambda name: (digest64(key, name), name), reverse=True)
--- a/hawthornlead/invariants.py
+++ b/hawthornlead/invariants.py
@@ -1,8 +1,8 @@
-"""Invariants asserted inside the program: always on, counted, fatal in tests.
+"""Invariants that are checked at run time, counted, and fatal in tests.
 
 A broken invariant never stops a serving process: it is counted in a metric and
-emitted as event 103. Tests set ``FATAL`` so that it raises. Checks are counted
-too, so that a run can tell which invariants it never exercised::
+emitted as event 103. Tests set ``FATAL`` so that it raises. Checks are counted too, so
+that a test run can report which invariants it never checked::
 
     invariants.check("grant-covers-attempt", now < grant.ends_at, grant.grant_id)
 """
--- a/hawthornlead/registries.py
+++ b/hawthornlead/registries.py
@@ -1,7 +1,7 @@
-"""Registries: things of one kind by name, entered by a decorator.
+"""Registries: classes or functions of one kind by name, added by a decorator.
 
-Modules whose behaviour varies by a name (strategies by a setting, messages by their
-name on the wire) each make one, and enter what they define in it::
+A module whose behaviour depends on a name (a strategy by a setting, a message by its
+wire name) creates a registry and adds its definitions to it::
 
     ROUTERS: Registry[type["Router"]] = Registry("router")
     router = ROUTERS.register
@@ -19,14 +19,14 @@
 
 
 class UnknownName(KeyError):
-    """A look-up of a name that nothing was entered under; its text is for people."""
+    """Raised for a name without an entry; its text is readable for operators."""
 
     def __str__(self) -> str:
         return str(self.args[0])
 
 
 class Registry(dict[str, _Entry]):
-    """A dict from names to entries of one ``kind``, in the order of their entering."""
+    """A dict from names to entries of one ``kind``, in the order of registration."""
 
     def __init__(self, kind: str):
         super().__init__()
@@ -37,10 +37,10 @@
         raise UnknownName(f"no {self._kind} is named {name!r}; known: {known}")
 
     def register(self, name: str) -> Callable[[_Entry], _Entry]:
-        """Return a decorator that enters what it decorates under ``name``.
+        """Return a decorator that registers what it decorates under ``name``.
 
-        The decorator raises ``ValueError`` when the name is taken: otherwise the
-        module that is imported last would decide what the name stands for.
+        The decorator raises ``ValueError`` if the name is taken. Otherwise the order of
+        imports would decide which entry the name stands for.
         """
 
         def enter(entry: _Entry) -> _Entry:
--- a/hawthornlead/resolvers.py
+++ b/hawthornlead/resolvers.py
@@ -1,7 +1,7 @@
-"""Resolving of addresses that are IP numbers, without a thread.
+"""Resolves numeric IP addresses without a thread.
 
-All addresses of the system are ``IP:PORT``. Tornado's resolver hands even those to a
-thread, which costs a new connection two changes of thread.
+All addresses of the system are ``IP:PORT``. Tornado's resolver resolves even those in
+a thread, which costs two thread switches for each new connection.
 """
 
 import socket
@@ -11,7 +11,7 @@
 
 
 class NumberResolver(Resolver):
-    """Answers for IP numbers at once; names go to the loop's resolver.
+    """Resolves IP addresses directly, and host names by the event loop's resolver.
 
     ::
 
@@ -19,7 +19,7 @@
     """
 
     def initialize(self) -> None:
-        """Make the resolver for names."""
+        """Create the resolver for host names."""
         self._names = DefaultLoopResolver()
 
     async def resolve(
--- a/hawthornlead/timers.py
+++ b/hawthornlead/timers.py
@@ -1,8 +1,7 @@
-"""The timer service: one clock per process that parts subscribe to.
+"""The timer service: the one clock of a process, with periodic and delayed calls.
 
-Parts never read a clock or sleep by themselves. They are handed a
-``TimerService``, so that a test can hand them a ``ManualTimerService`` and move
-time by hand::
+Components never read a clock or sleep directly. They get a ``TimerService``, so that a
+test can pass a ``ManualTimerService`` and control the time::
 
     timers = TimerService()
     subscription = timers.every(1.0, renew_lease, name="lease")
@@ -25,7 +24,7 @@
 
 
 class Subscription:
-    """A subscription to the timer service, ended by ``cancel``."""
+    """A periodic or delayed call, ended by ``cancel``."""
 
     def __init__(self, name: str, callback: Callback):
         self._name = name
@@ -35,7 +34,7 @@
 
     @property
     def name(self) -> str:
-        """What the subscriber called itself."""
+        """The name that the subscriber gave."""
         return self._name
 
     @property
@@ -44,15 +43,15 @@
         return self._cancelled
 
     def cancel(self) -> None:
-        """End the subscription; a call that has started runs to its end."""
+        """End the subscription; a call that has started is completed."""
         self._cancelled = True
-        # A cancelled timer that slept on until it was due would keep its task and
-        # callback in memory for that long, such as one per finished request.
+        # If a cancelled timer slept until it is due, its task and callback would stay
+        # in memory until then, for example one per finished request.
         if self._waiting is not None:
             self._waiting.cancel()
 
     async def wait(self, delay: float) -> None:
-        """Sleep before a call; ``cancel`` cuts the sleep short and ends the task."""
+        """Sleep before a call; ``cancel`` ends the sleep and the task."""
         if self._cancelled:
             return
         self._waiting = asyncio.current_task()
@@ -62,15 +61,15 @@
             self._waiting = None
 
     async def run(self) -> None:
-        """Call the subscriber once, keeping its errors from other subscribers."""
+        """Call the subscriber once and log its errors."""
         if self._cancelled:
             return
         try:
-            outcome = self._callback()
-            if inspect.isawaitable(outcome):
-                await outcome
+            result = self._callback()
+            if inspect.isawaitable(result):
+                await result
         except Exception:
-            # One subscriber's bug must not stop the timers of all the others.
+            # One subscriber's bug must not stop the timers of the others.
             logger.exception("timer subscriber {} failed", self._name)
 
 
@@ -81,16 +80,16 @@
         self._tasks = TaskSet()
 
     def now(self) -> float:
-        """Seconds on a steady clock; only differences mean anything.
+        """Return the seconds of a steady clock, of which only differences have meaning.
 
-        The clock counts the time for which the machine was suspended, as the usual
-        monotonic one does not. By that one a lease would look alive after a
-        suspension during which a successor has taken over.
+        Unlike the usual monotonic clock it includes the time for which the machine was
+        suspended. Otherwise a lease would look valid after a suspension during which
+        a successor has taken over.
         """
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def wall(self) -> float:
-        """Seconds since the epoch by this VM's clock, which may be wrong."""
+        """Return the seconds since the epoch by this VM's clock, which may be wrong."""
         return time.time()
 
     async def sleep(self, delay: float) -> None:
@@ -98,19 +97,19 @@
         await asyncio.sleep(delay)
 
     def every(self, interval: float, callback: Callback, name: str) -> Subscription:
-        """Call ``callback`` every ``interval`` seconds, never two at once."""
+        """Call ``callback`` every ``interval`` seconds; calls never overlap."""
         subscription = Subscription(name, callback)
         self._tasks.spawn(self._repeat(interval, subscription))
         return subscription
 
     def after(self, delay: float, callback: Callback, name: str) -> Subscription:
-        """Call ``callback`` once, ``delay`` seconds from now."""
+        """Call ``callback`` once after ``delay`` seconds."""
         subscription = Subscription(name, callback)
         self._tasks.spawn(self._once(delay, subscription))
         return subscription
 
     def stop(self) -> None:
-        """End all timers."""
+        """Cancel all timers."""
         self._tasks.cancel()
 
     async def _repeat(self, interval: float, subscription: Subscription) -> None:
@@ -131,10 +130,10 @@
 
 
 class ManualTimerService(TimerService):
-    """A timer service whose time moves only by ``advance``, for tests.
+    """A timer service whose time changes only by ``advance``, for tests.
 
-    ``advance`` waits for each callback to end, so a callback must not itself sleep
-    on this service: it would wait for the ``advance`` that waits for it.
+    ``advance`` waits for each callback to end. A callback that sleeps on this service
+    would therefore deadlock.
     """
 
     def __init__(self, start: float = 1000.0):
@@ -144,29 +143,29 @@
         self._due: list[_Due] = []
 
     def now(self) -> float:
-        """Seconds of the hand-moved clock."""
+        """Return the seconds of the manual clock."""
         return self._now
 
     def wall(self) -> float:
-        """Seconds of the hand-moved clock."""
+        """Return the seconds of the manual clock."""
         return self._now
 
     async def sleep(self, delay: float) -> None:
-        """Wait until the clock has been moved ``delay`` seconds on."""
+        """Wait until the clock has advanced by ``delay`` seconds."""
         woken = asyncio.Event()
         self.after(delay, woken.set, name="sleep")
         await woken.wait()
 
     def every(self, interval: float, callback: Callback, name: str) -> Subscription:
-        """Call ``callback`` each time the clock passes ``interval`` seconds."""
+        """Call ``callback`` each time the clock has advanced by ``interval``."""
         return self._add(interval, interval, callback, name)
 
     def after(self, delay: float, callback: Callback, name: str) -> Subscription:
-        """Call ``callback`` once the clock has moved ``delay`` seconds."""
+        """Call ``callback`` once the clock has advanced by ``delay`` seconds."""
         return self._add(delay, None, callback, name)
 
     async def advance(self, seconds: float) -> None:
-        """Move the clock, calling what falls due in order."""
+        """Advance the clock and run the calls that become due, in order."""
         end = self._now + seconds
         while self._due and self._due[0].at <= end:
             due = heapq.heappop(self._due)
--- a/hawthornlead/waits.py
+++ b/hawthornlead/waits.py
@@ -1,4 +1,4 @@
-"""Waiting with a bound, on the timer service's clock."""
+"""Waits with a timeout on the timer service's clock."""
 
 import asyncio
 
@@ -6,9 +6,9 @@
 
 
 async def wait_done(timers: TimerService, future: asyncio.Future, delay: float) -> bool:
-    """Wait until ``future`` is done, ``delay`` seconds at most; return whether it is.
+    """Wait up to ``delay`` seconds until ``future`` is done; return whether it is.
 
-    The future itself is neither cancelled nor read.
+    The future is not cancelled and its result is not read.
     """
     if future.done() or delay <= 0:
         return future.done()
@@ -30,19 +30,19 @@
 
 
 class Signal:
-    """Wakes everyone who waits each time it is fired."""
+    """Wakes all current waiters each time it is fired."""
 
     def __init__(self):
         self._waiting: asyncio.Future | None = None
 
     def fire(self) -> None:
-        """Wake all who wait now."""
+        """Wake all current waiters."""
         waiting, self._waiting = self._waiting, None
         if waiting is not None and not waiting.done():
             waiting.set_result(None)
 
     async def wait(self, timers: TimerService, delay: float) -> bool:
-        """Wait for the next firing, ``delay`` seconds at most; return if it came."""
+        """Wait up to ``delay`` seconds for the next firing; return whether it came."""
         if self._waiting is None:
             self._waiting = asyncio.get_running_loop().create_future()
         return await wait_done(timers, self._waiting, delay)
