--- a/hawthornlead/fleet/fleet_meshes.py
+++ b/hawthornlead/fleet/fleet_meshes.py
@@ -145,8 +145,9 @@
                 continue
             reported = self._reported_info(state)
             if reported is not None:
-                direct_at = known.last_seen_at if known else 0.0
-                seen_at = max(reported.last_seen_at, direct_at)
+                seen_at = max(
+                    reported.last_seen_at, known.last_seen_at if known else 0.0
+                )
                 direct[state.vm] = reported._replace(last_seen_at=seen_at)
         return tuple(direct.values())
 
--- a/hawthornlead/fleet/head_links.py
+++ b/hawthornlead/fleet/head_links.py
@@ -110,8 +110,9 @@
     def refresh(self, large: bool) -> None:
         """Choose peers and the upstream head from the current state."""
         if not large:
-            staying = self._registered_order.staying()
-            self._peers = tuple([vm for vm in staying if vm != self._vm])
+            self._peers = tuple(
+                [vm for vm in self._registered_order.staying() if vm != self._vm]
+            )
             self._local_heads, self._is_head, self._upstream_head = (), True, ""
             return
         now = self._timers.now()
@@ -165,8 +166,11 @@
         seen_at = self._last_seen_at(vm)
         if seen_at is not None:
             self._dialled_since.pop(vm, None)
-            recent = now - seen_at < HEAD_SILENCE_TIMEOUT_S
-            return _Reachability.HEALTHY if recent else _Reachability.SLOW
+            return (
+                _Reachability.HEALTHY
+                if now - seen_at < HEAD_SILENCE_TIMEOUT_S
+                else _Reachability.SLOW
+            )
         if self._reported_silent(vm):
             return _Reachability.DOWN
         dialled_s = now - self._dialled_since.setdefault(vm, now)
--- a/hawthornlead/gateway/relay_chains.py
+++ b/hawthornlead/gateway/change_logs.py
@@ -2,7 +2,7 @@
 
 A decision on what one relay saw, testable without a network::
 
-    chain = RelayChain(known)
+    chain = ChangeLog(known)
     link = chain.watched(since=7, until=9, events=changes.events)
 """
 
@@ -15,7 +15,7 @@
 _NOT_SEEN = object()
 
 
-class ChainLink(NamedTuple):
+class ChangeBatch(NamedTuple):
     """All changes of note after ``since``, up to ``until``.
 
     ``names`` are those of all objects at ``until``, None where each removal is told.
@@ -30,7 +30,7 @@
     compared_at: int | None = None
 
 
-class RelayChain:
+class ChangeLog:
     """What a relay's own calls have shown of one kind since it began.
 
     It takes no notice of what another relay told: a VM that has missed that would miss
@@ -44,7 +44,7 @@
         self._seen: dict[str, Any] = {}
         for name, record in known.records.items():
             if record.revision <= self._until:
-                self._seen[name] = known.essence_of(record)
+                self._seen[name] = known.effective_content_of(record)
 
     @property
     def since(self) -> int:
@@ -62,7 +62,7 @@
 
     def watched(
         self, since: int, until: int, events: Iterable[StoreEvent]
-    ) -> ChainLink | None:
+    ) -> ChangeBatch | None:
         """Go on by what a watch told; None if there is nothing to pass on."""
         if since != self._until or until < since:
             # That watch began before this chain did.
@@ -71,14 +71,14 @@
         for event in events:
             if self._is_news(event):
                 news.append(event)
-        link = ChainLink(self._since, until, tuple(news))
+        link = ChangeBatch(self._since, until, tuple(news))
         self._until = until
         if not news:
             return None
         self._since = max(event.record.revision for event in news)
         return link
 
-    def listed(self, until: int, records: Iterable[StoredRecord]) -> ChainLink | None:
+    def listed(self, until: int, records: Iterable[StoredRecord]) -> ChangeBatch | None:
         """Go on by a listing, which shows each object but not how it came there."""
         if until < self._until:
             return None
@@ -91,7 +91,7 @@
                 news.append(event)
         for name in set(self._seen) - names:
             del self._seen[name]
-        link = ChainLink(
+        link = ChangeBatch(
             self._since, until, tuple(news), tuple(sorted(names)), self._until
         )
         self._since = self._until = until
@@ -101,8 +101,8 @@
         name = event.record.name
         if event.deleted:
             return self._seen.pop(name, _NOT_SEEN) is not _NOT_SEEN
-        essence = self._known.essence_of(event.record)
-        if essence == self._seen.get(name, _NOT_SEEN):
+        effective_content = self._known.effective_content_of(event.record)
+        if effective_content == self._seen.get(name, _NOT_SEEN):
             return False
-        self._seen[name] = essence
+        self._seen[name] = effective_content
         return True
--- a/hawthornlead/gateway/engine_managers.py
+++ b/hawthornlead/gateway/engine_managers.py
@@ -186,7 +186,7 @@
         self._let_go()
         if not self._owners and not self._orphaned_at:
             self._ownerships.note_idle()
-        heard = self._memberships.heard()
+        heard = self._memberships.recently_seen()
         for entry in tuple(self._targets.entries.values()):
             spec = self._spec(entry)
             if spec is None or entry.draining:
@@ -330,7 +330,7 @@
         A message of a later start than the known one tells of a restart.
         """
         told = Incarnation(target, started_ms)
-        if not self._targets.observe_incarnation(told, RestartSeen.WORD):
+        if not self._targets.observe_incarnation(told, RestartSeen.PEER_MESSAGE):
             return None
         return self._owners.get(target)
 
--- a/hawthornlead/gateway/fleet_views.py
+++ b/hawthornlead/gateway/fleet_views.py
@@ -14,7 +14,7 @@
 from ..messages import Heartbeat
 from ..timers import TimerService
 from .memberships import Memberships
-from .relay_roles import RELAYS
+from .relay_elections import RELAYS
 from .store_clients import StoreClient
 from .target_tables import TargetTable
 from .vm_leases import VmLease
@@ -146,7 +146,7 @@
 
     def _kinds(self) -> list[KindRow]:
         rows: list[KindRow] = []
-        for kind, how in self._relays.ways().items():
+        for kind, how in self._relays.change_sources().items():
             rows.append({"kind": kind, "changes": how})
         return rows
 
@@ -166,7 +166,7 @@
             if vm == self._memberships.vm:
                 state = "serving" if self._memberships.serving else "not ready"
                 heard_s = 0.0
-            elif peer is not None and self._memberships.reaches(vm):
+            elif peer is not None and self._memberships.is_reachable(vm):
                 state = _state_of(peer.heartbeat)
                 heard_s = round(now - peer.last_seen_at, 2)
             rows.append(
--- a/hawthornlead/gateway/gateway_parts.py
+++ b/hawthornlead/gateway/gateway_parts.py
@@ -202,7 +202,7 @@
     quotas = QuotaLedger(
         now=timers.now,
         rng=rng,
-        share=lambda: memberships.heard_share,
+        share=lambda: memberships.seen_share,
         vms=lambda: registered_order.count or ASSUMED_VMS,
     )
     return Coordination(client, mesh, memberships, lease, ownerships, relays, quotas)
--- a/hawthornlead/gateway/gateways.py
+++ b/hawthornlead/gateway/gateways.py
@@ -283,7 +283,7 @@
                 on_changed=targets.apply_entry,
                 on_deleted=targets.remove_entry,
                 on_unreadable=targets.remove_unreadable,
-                essence=effective_entry,
+                effective_content=effective_entry,
                 pause_s=TARGETS_PAUSE_S,
                 fetched=True,
             ),
@@ -299,7 +299,7 @@
                 **common,
                 on_changed=memberships.take,
                 on_deleted=memberships.drop,
-                on_unreadable=memberships.keep_unreadable,
+                on_unreadable=memberships.on_unreadable_record,
                 pause_s=VMS_PAUSE_S,
             ),
         }
@@ -317,7 +317,7 @@
             routes=len(configuration.routes),
             services=len(configuration.services),
             revision=record.revision,
-            way=self._relays.way(CONFIGURATION_KIND),
+            way=self._relays.change_source(CONFIGURATION_KIND),
         )
         self._parts.apply_configuration(configuration)
         self._engine_manager.apply_configuration(configuration)
@@ -331,7 +331,7 @@
         self._targets.sweep()
         self._parts.healths.retain(self._targets.entries)
         known = self._parts.configuration is not None
-        self._memberships.note_serving(known and self._watchers[TARGETS_KIND].listed)
+        self._memberships.mark_serving(known and self._watchers[TARGETS_KIND].listed)
 
     def _heartbeat(self) -> Heartbeat:
         capacity = 1 if self._memberships.serving else 0
--- a/hawthornlead/gateway/kind_records.py
+++ b/hawthornlead/gateway/kind_records.py
@@ -4,7 +4,7 @@
 Only who knows everything up to the first knows everything up to the second::
 
     known = KindRecords("config", on_changed=take, on_deleted=drop, events=events)
-    known.take_changes(7, 9, (StoreEvent(record, False),))
+    known.apply_changes(7, 9, (StoreEvent(record, False),))
     known.until
 """
 
@@ -16,21 +16,22 @@
 from .records import StoredRecord, StoreEvent
 
 # The revision of a VM that knows nothing yet; the store counts from above 0.
-NOTHING = -1
-_NO_ESSENCE = object()
+NO_REVISION = -1
+_NO_CONTENT = object()
 _UNREADABLE = object()
 
 
 class KindRecords:
     """The newest known state of each object, and how complete that is.
 
-    ``essence`` is what of an object matters: a change of the rest is not told.
+    ``effective_content`` returns the fields of an object whose change matters; changes
+    of other fields are not reported.
 
     Guards against an old answer overtaking a newer one, which would bring back a
     configuration that was replaced: an object at a revision that isn't newer than the
     one known is dropped, and so is all that is older than ``until``.
 
-    What another writer put into the store may be unreadable: ``essence`` or
+    What another writer put into the store may be unreadable: ``effective_content`` or
     ``on_changed`` raise ``ValueError``, and ``on_unreadable`` is called instead, once
     until the object can be read again. The other objects hold.
     """
@@ -44,7 +45,7 @@
         on_deleted: Callable[[str], None],
         on_unreadable: Callable[[str], None] = lambda name: None,
         metrics: GatewayMetrics | None = None,
-        essence: Callable[[StoredRecord], Any] = lambda record: record,
+        effective_content: Callable[[StoredRecord], Any] = lambda record: record,
     ):
         self._kind = kind
         self._events = events
@@ -52,14 +53,14 @@
         self._on_deleted = on_deleted
         self._on_unreadable = on_unreadable
         self._metrics = metrics
-        self._essence = essence
+        self._effective_content = effective_content
         self._records: dict[str, StoredRecord] = {}
-        self._essences: dict[str, Any] = {}
+        self._effective_contents: dict[str, Any] = {}
         # Of objects that went at a revision after ``until``: an older change that comes
         # by another way must not bring them back.
         self._removed: dict[str, int] = {}
-        self._until = NOTHING
-        self._quiet_since = NOTHING
+        self._until = NO_REVISION
+        self._quiet_since = NO_REVISION
 
     @property
     def records(self) -> dict[str, StoredRecord]:
@@ -76,7 +77,7 @@
         """The revision since which, up to ``until``, nothing of note has changed."""
         return self._quiet_since
 
-    def take_all(self, until: int, records: Iterable[StoredRecord]) -> None:
+    def apply_listing(self, until: int, records: Iterable[StoredRecord]) -> None:
         """Take all objects that there are at a revision.
 
         They are compared one by one where that is at or after ``until``, so that what
@@ -91,7 +92,7 @@
         self._drop_others(names, until)
         self._reach(until, until)
 
-    def take_changes(
+    def apply_changes(
         self,
         since: int,
         until: int,
@@ -106,7 +107,7 @@
         may have been different in between. Return False if what was told doesn't go
         on from what is known here: it is taken, but ``until`` stays.
         """
-        changed_at = NOTHING
+        changed_at = NO_REVISION
         for event in changes:
             if event.record.revision > self._until:
                 # Also if it was taken before, when changes were missing before it.
@@ -119,7 +120,7 @@
         if names is not None:
             self._drop_others(set(names), until)
             changed_at = until
-        if changed_at != NOTHING:
+        if changed_at != NO_REVISION:
             self._reach(until, min(changed_at, until))
         elif not changes and since < self._quiet_since <= until:
             self._reach(until, since)
@@ -127,10 +128,10 @@
             self._reach(until, self._quiet_since)
         return True
 
-    def essence_of(self, record: StoredRecord) -> Any:
+    def effective_content_of(self, record: StoredRecord) -> Any:
         """Return what of an object matters, one value for all that can't be read."""
         try:
-            return self._read_essence(record)
+            return self._read_effective_content(record)
         except ValueError:
             return _UNREADABLE
 
@@ -158,23 +159,25 @@
         known = self._records.get(record.name)
         if known is not None and record.revision <= known.revision:
             return
-        if record.revision <= self._removed.get(record.name, NOTHING):
+        if record.revision <= self._removed.get(record.name, NO_REVISION):
             return
         self._records[record.name] = record
         try:
-            essence = self._read_essence(record)
-            if essence == self._essences.get(record.name, _NO_ESSENCE):
+            effective_content = self._read_effective_content(record)
+            if effective_content == self._effective_contents.get(
+                record.name, _NO_CONTENT
+            ):
                 return
             self._on_changed(record)
         except ValueError as error:
             self._put_unreadable(record, error)
             return
-        self._essences[record.name] = essence
+        self._effective_contents[record.name] = effective_content
 
-    def _read_essence(self, record: StoredRecord) -> Any:
+    def _read_effective_content(self, record: StoredRecord) -> Any:
         if record.unreadable:
             raise ValueError("it is no object, or has bytes that can't be read")
-        return self._essence(record)
+        return self._effective_content(record)
 
     def _put_unreadable(self, record: StoredRecord, error: ValueError) -> None:
         """Note an unreadable object.
@@ -182,9 +185,9 @@
         A writer may go on writing such objects several times a second: only the first
         of a series is told.
         """
-        if self._essences.get(record.name) is _UNREADABLE:
+        if self._effective_contents.get(record.name) is _UNREADABLE:
             return
-        self._essences[record.name] = _UNREADABLE
+        self._effective_contents[record.name] = _UNREADABLE
         self._tell_unusable(f"{self._kind}/{record.name}", str(error))
         self._on_unreadable(record.name)
 
@@ -203,9 +206,9 @@
         known = self._records.get(name)
         if known is not None and revision < known.revision:
             return
-        self._removed[name] = max(revision, self._removed.get(name, NOTHING))
+        self._removed[name] = max(revision, self._removed.get(name, NO_REVISION))
         if known is None:
             return
         del self._records[name]
-        self._essences.pop(name, None)
+        self._effective_contents.pop(name, None)
         self._on_deleted(name)
--- a/hawthornlead/gateway/memberships.py
+++ b/hawthornlead/gateway/memberships.py
@@ -123,7 +123,7 @@
         return 2 * len(self._live) >= len(self._heard) + 1
 
     @property
-    def heard_share(self) -> float:
+    def seen_share(self) -> float:
         """Which part of all VMs that stay is heard, this one included."""
         self._look()
         heard = len(self._heard) + 1
@@ -143,7 +143,7 @@
         """End what is under way."""
         self._tasks.cancel()
 
-    def note_serving(self, serving: bool) -> None:
+    def mark_serving(self, serving: bool) -> None:
         """Note whether this VM knows enough to serve callers."""
         if serving != self._serving:
             self._events.emit(EventKind.READINESS_CHANGED, self.vm, ready=serving)
@@ -165,7 +165,7 @@
         self._registered_order.apply(read_vm(record), record.revision)
         self._forget_orders()
 
-    def keep_unreadable(self, name: str) -> None:
+    def on_unreadable_record(self, name: str) -> None:
         """Note that a VM's object can't be read: what was known of the VM stays.
 
         Whether it lives is seen on the mesh and not in its object, and callers are
@@ -191,12 +191,12 @@
         self._look()
         return self._live
 
-    def heard(self) -> frozenset[str]:
+    def recently_seen(self) -> frozenset[str]:
         """Return the other VMs that were heard lately, those that leave included."""
         self._look()
         return self._heard
 
-    def reaches(self, vm: str) -> bool:
+    def is_reachable(self, vm: str) -> bool:
         """Whether a VM is this one or was heard lately."""
         self._look()
         return vm == self.vm or vm in self._heard
--- a/hawthornlead/gateway/ownerships.py
+++ b/hawthornlead/gateway/ownerships.py
@@ -266,7 +266,7 @@
         return all(unowned)
 
     async def _has_yielded(self, vm: str, target: str) -> bool:
-        if not self._memberships.reaches(vm):
+        if not self._memberships.is_reachable(vm):
             return False
         reply = await self._mesh.call(vm, YieldTarget(target))
         return reply.is_ok()
--- a/hawthornlead/gateway/records.py
+++ b/hawthornlead/gateway/records.py
@@ -211,7 +211,7 @@
 
     ENTRY = "entry"
     REPORT = "report"
-    WORD = "word of another VM"
+    PEER_MESSAGE = "word of another VM"
     COUNT = "count of orders gone back"
 
 
--- a/hawthornlead/gateway/relay_roles.py
+++ b/hawthornlead/gateway/relay_elections.py
@@ -17,11 +17,11 @@
 STEP_IN_S = 0.25
 # After this the word of a relay is too old: with the way to a direct watch it stays
 # well within the 2 s in which a configuration or a leaving target must be heeded.
-WORD_KEPT_S = 1.1
+RELAY_HEARTBEAT_TTL_S = 1.1
 NEVER = float("-inf")
 
 
-class RelayRole:
+class RelayElection:
     """Whether one VM should be a relay, by who else vouches.
 
     ::
@@ -55,7 +55,7 @@
         now = self._timers.now()
         vouching = 0
         for vm in order[:rank]:
-            vouching += now - self._vouched_at.get(vm, NEVER) < WORD_KEPT_S
+            vouching += now - self._vouched_at.get(vm, NEVER) < RELAY_HEARTBEAT_TTL_S
         if vouching >= RELAYS:
             self._lacking_since = None
             return False
--- a/hawthornlead/gateway/target_tables.py
+++ b/hawthornlead/gateway/target_tables.py
@@ -108,7 +108,7 @@
     def is_orderable(self, target: str) -> bool:
         """Whether the VM that orders an engine can be asked now."""
         owner = self.owner(target)
-        return bool(owner) and self._memberships.reaches(owner)
+        return bool(owner) and self._memberships.is_reachable(owner)
 
     def holding(
         self, entry: TargetEntry, service: ServiceSpec, key: AdapterKey
@@ -246,7 +246,7 @@
     def apply_holdings(self, vm: str, told: TargetHoldings) -> None:
         """Take an owner's word on its engine; an older owner's counts no more."""
         incarnation = Incarnation(told.target, told.started_ms)
-        if self.observe_incarnation(incarnation, RestartSeen.WORD):
+        if self.observe_incarnation(incarnation, RestartSeen.PEER_MESSAGE):
             self._beliefs_of(told.target).apply(vm, told, self._timers.now())
 
     def on_released(self, vm: str, target: str, fence: int) -> None:
--- a/hawthornlead/gateway/watch_relays.py
+++ b/hawthornlead/gateway/watch_relays.py
@@ -27,11 +27,11 @@
 )
 from ..tasks import TaskSet
 from ..timers import TimerService
-from .kind_records import NOTHING, KindRecords
+from .change_logs import ChangeBatch, ChangeLog
+from .kind_records import NO_REVISION, KindRecords
 from .memberships import Memberships
 from .records import StoredRecord, StoreEvent
-from .relay_chains import ChainLink, RelayChain
-from .relay_roles import WORD_KEPT_S, RelayRole
+from .relay_elections import RELAY_HEARTBEAT_TTL_S, RelayElection
 from .relayed_records import read_relayed, relayed_record
 from .store_clients import StoreClient
 
@@ -39,17 +39,17 @@
 # watches may wait WAIT_S for an answer and look well meanwhile, while the store is out
 # of its reach: with the next word and a listing the others know of a change within
 # 1.5 s, of the 2 s in which a leaving target must be heeded; else it took up to 5 s.
-STORE_HEARD_S = 0.8
+STORE_MAX_SILENCE_S = 0.8
 # After so long without an answer the store is asked; most often targets' heartbeats
 # have brought one before.
 ASK_STORE_S = 0.45
-WORD_S = 0.4
-ROLE_LOOK_S = 0.2
+RELAY_HEARTBEAT_INTERVAL_S = 0.4
+RELAY_ELECTION_INTERVAL_S = 0.2
 # An object of the store may be as large as the largest message between VMs, by default
 # 1 MiB, and larger once it is escaped. Half of it leaves room for what goes with it.
-MOST_RELAYED_BYTES = 500_000
+MAX_RELAYED_BYTES = 500_000
 # So many VMs are asked for what they know, while the store is away.
-MOST_ASKED = 8
+MAX_FETCH_SOURCES = 8
 # Records are fetched from other VMs in messages of about this size.
 FETCHED_BYTES = 200_000
 
@@ -76,7 +76,7 @@
 
     ::
 
-        if relays.vouched("config"):
+        if relays.is_relayed("config"):
             return  # changes come over the mesh
     """
 
@@ -96,13 +96,13 @@
         self._mesh = mesh
         self._timers = timers
         self._followed: dict[str, _Followed] = {}
-        self._chains: dict[str, RelayChain] = {}
+        self._chains: dict[str, ChangeLog] = {}
         self._heard: dict[str, dict[str, _Heard]] = defaultdict(dict)
         self._told_kinds: set[str] = set()
         self._missing: set[str] = set()
         self._asked = 0
         self._relaying = False
-        self._role = RelayRole(memberships=memberships, mesh=mesh, timers=timers)
+        self._role = RelayElection(memberships=memberships, mesh=mesh, timers=timers)
         mesh.on(RelayHeartbeat, self._on_word)
         mesh.on(RelayedChanges, self._on_changes)
         mesh.on(FetchRecords, self._on_fetch)
@@ -128,31 +128,35 @@
     def start(self) -> None:
         """Begin to vouch for what this VM watches."""
         self._look_at_role()
-        self._timers.every(ROLE_LOOK_S, self._look_at_role, name="relay-role")
-        self._timers.every(WORD_S, self._tell_word, name="relay-word")
+        self._timers.every(
+            RELAY_ELECTION_INTERVAL_S, self._look_at_role, name="relay-role"
+        )
+        self._timers.every(
+            RELAY_HEARTBEAT_INTERVAL_S, self._tell_word, name="relay-word"
+        )
 
     def follow(self, kind: str, known: KindRecords, fresh: Callable[[], bool]) -> None:
         """Enter a watcher of a kind."""
         self._followed[kind] = _Followed(known, fresh)
 
-    def vouched(self, kind: str) -> bool:
+    def is_relayed(self, kind: str) -> bool:
         """Whether a relay was heard lately and nothing that it passed on is missing."""
-        heard_after = self._timers.now() - WORD_KEPT_S
+        heard_after = self._timers.now() - RELAY_HEARTBEAT_TTL_S
         until = self._followed[kind].known.until
         for heard in self._heard[kind].values():
             if heard.at >= heard_after and heard.since <= until:
                 return True
         return False
 
-    def ways(self) -> dict[str, str]:
+    def change_sources(self) -> dict[str, str]:
         """Return by what this VM learns of changes of each kind that it follows."""
-        return {kind: self.way(kind) for kind in self._followed}
+        return {kind: self.change_source(kind) for kind in self._followed}
 
-    def way(self, kind: str) -> str:
+    def change_source(self, kind: str) -> str:
         """Return by what this VM learns of changes of one kind."""
         if self.is_relay:
             return "watches for others"
-        return "told by a relay" if self.vouched(kind) else "own watch"
+        return "told by a relay" if self.is_relayed(kind) else "own watch"
 
     # What a relay passes on
 
@@ -161,7 +165,7 @@
         chain = self._chains.get(kind)
         return chain.until if chain else self._followed[kind].known.until
 
-    def note_watched(
+    def on_watched(
         self, kind: str, since: int, until: int, events: Iterable[StoreEvent]
     ) -> None:
         """Pass on what an own watch showed, if this VM is a relay."""
@@ -169,9 +173,7 @@
         if chain is not None:
             self._pass_on(kind, chain, chain.watched(since, until, events))
 
-    def note_listed(
-        self, kind: str, until: int, records: Iterable[StoredRecord]
-    ) -> None:
+    def on_listed(self, kind: str, until: int, records: Iterable[StoredRecord]) -> None:
         """Pass on what an own listing showed, if this VM is a relay."""
         chain = self._chains.get(kind)
         if chain is not None:
@@ -179,7 +181,7 @@
         elif self.is_relay:
             self._begin_chain(kind)
 
-    def _pass_on(self, kind: str, chain: RelayChain, link: ChainLink | None) -> None:
+    def _pass_on(self, kind: str, chain: ChangeLog, link: ChangeBatch | None) -> None:
         if link is None:
             return
         records = []
@@ -187,7 +189,7 @@
             record = None if event.deleted else event.record
             name, revision = event.record.name, event.record.revision
             records.append(relayed_record(name, record, revision))
-        if sum(record.size for record in records) > MOST_RELAYED_BYTES:
+        if sum(record.size for record in records) > MAX_RELAYED_BYTES:
             # The mesh can't carry it, and raises an error that would end the watch.
             # The others see by the revisions that they miss changes, and watch.
             chain.restart()
@@ -213,8 +215,8 @@
 
     def _begin_chain(self, kind: str) -> None:
         known = self._followed[kind].known
-        if known.until != NOTHING:
-            self._chains[kind] = RelayChain(known)
+        if known.until != NO_REVISION:
+            self._chains[kind] = ChangeLog(known)
 
     def _tell_word(self) -> None:
         if not self.is_relay:
@@ -230,7 +232,7 @@
 
     def _vouched_kinds(self) -> set[str]:
         """Return the kinds of which this VM's own calls show all changes now."""
-        if self._timers.now() - self._client.answered_at > STORE_HEARD_S:
+        if self._timers.now() - self._client.answered_at > STORE_MAX_SILENCE_S:
             return set()
         return {kind for kind in self._chains if self._followed[kind].fresh()}
 
@@ -245,21 +247,21 @@
             if kind not in self._followed:
                 continue
             self._heard[kind][sender.incarnation] = _Heard(self._timers.now(), since)
-            self._take_changes(sender.vm, RelayedChanges(kind, since, until, ()))
+            self._apply_changes(sender.vm, RelayedChanges(kind, since, until, ()))
 
     async def _on_changes(self, sender, message: RelayedChanges) -> None:
         if message.kind in self._followed:
-            self._take_changes(sender.vm, message)
+            self._apply_changes(sender.vm, message)
 
-    def _take_changes(self, relay: str, message: RelayedChanges) -> None:
+    def _apply_changes(self, relay: str, message: RelayedChanges) -> None:
         kind = message.kind
         known = self._followed[kind].known
         events = _read_events(message.records)
         told = (message.since, message.until, events)
-        if known.take_changes(*told, message.names, message.compared_at):
+        if known.apply_changes(*told, message.names, message.compared_at):
             self._missing.discard(kind)
             return
-        if known.until == NOTHING or self.vouched(kind):
+        if known.until == NO_REVISION or self.is_relayed(kind):
             return
         self._tasks.spawn_once(f"catch up {kind}", lambda: self._catch_up(kind, relay))
         if kind in self._missing:
@@ -287,8 +289,8 @@
         starts would refuse all requests; one that missed a change would keep what was
         in force before.
         """
-        starts = self._followed[kind].known.until == NOTHING
-        for vm in self._sources()[: MOST_ASKED if starts else 1]:
+        starts = self._followed[kind].known.until == NO_REVISION
+        for vm in self._sources()[: MAX_FETCH_SOURCES if starts else 1]:
             if await self._fetch_from(vm, kind):
                 return True
         return False
@@ -312,7 +314,7 @@
     async def _catch_up(self, kind: str, relay: str) -> None:
         """Ask for changes that were missed of what a relay told."""
         source = self._mesh.upstream_head if self._mesh.large else ""
-        if source and await self._fetch_from(source, kind) and self.vouched(kind):
+        if source and await self._fetch_from(source, kind) and self.is_relayed(kind):
             return
         await self._fetch_from(relay, kind)
 
@@ -335,13 +337,13 @@
             if not page.more or not page.names:
                 break
             after = page.names[-1]
-        if until > since or until == NOTHING:
-            known.take_changes(since, until, tuple(events), tuple(names))
+        if until > since or until == NO_REVISION:
+            known.apply_changes(since, until, tuple(events), tuple(names))
         return True
 
     async def _on_fetch(self, sender, message: FetchRecords) -> FetchedRecords:
         followed = self._followed.get(message.kind)
-        if followed is None or followed.known.until == NOTHING:
+        if followed is None or followed.known.until == NO_REVISION:
             return FetchedRecords(False, (), False)
         records, until = followed.known.records, followed.known.until
         if until <= message.since:
@@ -357,9 +359,9 @@
             if records[name].revision <= message.since:
                 continue
             relayed = relayed_record(name, records[name], records[name].revision)
-            if relayed.size > MOST_RELAYED_BYTES:
+            if relayed.size > MAX_RELAYED_BYTES:
                 # It is listed once the store is back; the others must not wait for it.
-                until = NOTHING
+                until = NO_REVISION
                 continue
             size += relayed.size
             told.append(relayed)
--- a/hawthornlead/gateway/watchers.py
+++ b/hawthornlead/gateway/watchers.py
@@ -15,7 +15,7 @@
 from ..tasks import TaskSet
 from ..timers import TimerService
 from .gateway_metrics import GatewayMetrics
-from .kind_records import NOTHING, KindRecords
+from .kind_records import NO_REVISION, KindRecords
 from .records import StoredRecord, StoreEvent
 from .store_clients import WATCH_SLACK_S, StoreClient
 from .watch_relays import WatchRelays
@@ -68,7 +68,7 @@
         on_deleted: Callable[[str], None],
         on_unreadable: Callable[[str], None] = lambda name: None,
         metrics: GatewayMetrics | None = None,
-        essence: Callable[[StoredRecord], Any] = lambda record: record,
+        effective_content: Callable[[StoredRecord], Any] = lambda record: record,
         pause_s: float = 0.0,
         fetched: bool = False,
     ):
@@ -85,7 +85,7 @@
             on_deleted=on_deleted,
             on_unreadable=on_unreadable,
             metrics=metrics,
-            essence=essence,
+            effective_content=effective_content,
         )
         self._failures = 0
         self._pause_s = pause_s
@@ -114,7 +114,7 @@
         """Whether this VM knows all changes, by its own calls or through a relay."""
         if not self._listed:
             return False
-        return self._relays.vouched(self._kind) or self._is_fresh()
+        return self._relays.is_relayed(self._kind) or self._is_fresh()
 
     @property
     def answering(self) -> bool:
@@ -158,7 +158,7 @@
 
     async def _ask_store(self) -> bool:
         """Ask the store once for what this VM doesn't know; whether it was told."""
-        if self._history_gone or self._known.until == NOTHING:
+        if self._history_gone or self._known.until == NO_REVISION:
             return await self._list()
         return await self._watch(WAIT_S if self._current else NO_WAIT_S)
 
@@ -178,7 +178,7 @@
         return SPREAD_S * self._rng.random() if spread else 0.0
 
     def _note_way(self) -> None:
-        way = self._relays.way(self._kind)
+        way = self._relays.change_source(self._kind)
         if way != self._way:
             self._way = way
             self._events.emit(EventKind.WAY_CHANGED, self._kind, way=way)
@@ -193,7 +193,7 @@
         while self._relays.has_source and self._timers.now() < until:
             if not self._listed:
                 self._listed = await self._relays.fetch_at_start(self._kind)
-            if self._listed and self._relays.vouched(self._kind):
+            if self._listed and self._relays.is_relayed(self._kind):
                 return
             await self._timers.sleep(FETCH_AGAIN_S)
 
@@ -212,7 +212,7 @@
         """Whether relays tell all changes, so that this VM needs no watch."""
         if not self._listed or self._relays.is_relay:
             return False
-        if not self._relays.vouched(self._kind):
+        if not self._relays.is_relayed(self._kind):
             return False
         self._current = False
         return True
@@ -233,11 +233,11 @@
         self._note_back()
         found = listed.ok_value
         self._note_skipped(found.skipped)
-        self._known.take_all(found.revision, found.events)
+        self._known.apply_listing(found.revision, found.events)
         self._listed = True
         self._history_gone = False
         self._listed_at = began_at
-        self._relays.note_listed(self._kind, found.revision, found.events)
+        self._relays.on_listed(self._kind, found.revision, found.events)
         return True
 
     async def _watch(self, wait_s: float) -> bool:
@@ -256,8 +256,8 @@
         if changes.skipped:
             self._note_skipped(changes.skipped)
         events = tuple([_dated(event, since) for event in changes.events])
-        self._known.take_changes(since, changes.revision, events)
-        self._relays.note_watched(self._kind, since, changes.revision, events)
+        self._known.apply_changes(since, changes.revision, events)
+        self._relays.on_watched(self._kind, since, changes.revision, events)
         if self._timers.now() - began_at > wait_s + WATCH_SLACK_S:
             # This VM stood still meanwhile, and the answer is from before that.
             self._current = False
--- a/hawthornlead/tests/fakes_fleets.py
+++ b/hawthornlead/tests/fakes_fleets.py
@@ -181,7 +181,7 @@
         self.quotas = QuotaLedger(
             now=fleet.timers.now,
             rng=Random(name),
-            share=lambda: self.heard_share,
+            share=lambda: self.seen_share,
             vms=lambda: self.registered_order.count or 1,
         )
         self.words = LoadAnnouncements(
@@ -202,7 +202,7 @@
         )
 
     @property
-    def heard_share(self) -> float:
+    def seen_share(self) -> float:
         """Return which part of all VMs this one hears, itself included."""
         heard = len(self.live())
         return heard / max(heard, self.registered_order.count)
--- a/hawthornlead/tests/fakes_spread.py
+++ b/hawthornlead/tests/fakes_spread.py
@@ -168,7 +168,7 @@
         """Begin to register, connect and follow."""
         self.mesh.start()
         self.memberships.start()
-        self.memberships.note_serving(True)
+        self.memberships.mark_serving(True)
         self.words.start()
         self.relays.start()
         for watcher in self.watchers.values():
@@ -188,7 +188,7 @@
         quotas = QuotaLedger(
             now=self.timers.now,
             rng=rng,
-            share=lambda: self.memberships.heard_share,
+            share=lambda: self.memberships.seen_share,
             vms=lambda: self.registered_order.count or 1,
         )
         return LoadAnnouncements(
@@ -222,7 +222,7 @@
                 **common,
                 on_changed=self._take_thing,
                 on_deleted=lambda name: self.things.pop(name),
-                essence=lambda record: record.spec["n"] // 10,
+                effective_content=lambda record: record.spec["n"] // 10,
                 pause_s=0.3,
                 fetched=True,
             ),
@@ -231,7 +231,7 @@
                 **common,
                 on_changed=self.memberships.take,
                 on_deleted=self.memberships.drop,
-                on_unreadable=self.memberships.keep_unreadable,
+                on_unreadable=self.memberships.on_unreadable_record,
                 pause_s=0.2,
             ),
         }
--- a/hawthornlead/tests/following_vms.py
+++ b/hawthornlead/tests/following_vms.py
@@ -95,7 +95,7 @@
                 on_changed=self.targets.apply_entry,
                 on_deleted=self.targets.remove_entry,
                 on_unreadable=self.targets.remove_unreadable,
-                essence=effective_entry,
+                effective_content=effective_entry,
             ),
             VERSIONS_KIND: KindWatcher(
                 VERSIONS_KIND,
@@ -114,7 +114,7 @@
                 **common,
                 on_changed=self.memberships.take,
                 on_deleted=self.memberships.drop,
-                on_unreadable=self.memberships.keep_unreadable,
+                on_unreadable=self.memberships.on_unreadable_record,
             ),
         }
         self.targets.watcher = self.watchers[TARGETS_KIND]
@@ -265,5 +265,5 @@
         site.add(name)
     told = await site.told()
     for kind in KINDS:
-        await site.until(lambda k=kind: all(vm.relays.vouched(k) for vm in told))
+        await site.until(lambda k=kind: all(vm.relays.is_relayed(k) for vm in told))
     return site
--- a/hawthornlead/tests/test_relay_chains.py
+++ b/hawthornlead/tests/test_change_logs.py
@@ -14,9 +14,9 @@
 
 from hawthornlead.clocks import HybridClock
 from hawthornlead.events import EventRing
-from hawthornlead.gateway.kind_records import NOTHING, KindRecords
+from hawthornlead.gateway.change_logs import ChangeBatch, ChangeLog
+from hawthornlead.gateway.kind_records import NO_REVISION, KindRecords
 from hawthornlead.gateway.records import StoredRecord, StoreEvent
-from hawthornlead.gateway.relay_chains import ChainLink, RelayChain
 from hawthornlead.timers import ManualTimerService
 
 VMS = 3
@@ -57,10 +57,10 @@
             events=events,
             on_changed=lambda record: None,
             on_deleted=lambda name: None,
-            essence=lambda record: record.spec["n"],
+            effective_content=lambda record: record.spec["n"],
         )
-        self.chain: RelayChain | None = None
-        self.inbox: list[ChainLink] = []
+        self.chain: ChangeLog | None = None
+        self.inbox: list[ChangeBatch] = []
 
 
 class Spreading(RuleBasedStateMachine):
@@ -73,9 +73,9 @@
         events.write = lambda line: None
         self.vms = [Vm(events) for _ in range(VMS)]
         for vm in self.vms:
-            vm.known.take_all(1, self.at(1).values())
+            vm.known.apply_listing(1, self.at(1).values())
         for vm in self.vms[:2]:
-            vm.chain = RelayChain(vm.known)
+            vm.chain = ChangeLog(vm.known)
 
     @property
     def revision(self) -> int:
@@ -99,7 +99,7 @@
         """Return all changes after a revision."""
         return tuple([each.event for each in self.history if each.revision > revision])
 
-    def tell(self, sender: Vm, link: ChainLink | None) -> None:
+    def tell(self, sender: Vm, link: ChangeBatch | None) -> None:
         """Send something to all other VMs."""
         for vm in self.vms if link is not None else ():
             if vm is not sender:
@@ -118,26 +118,26 @@
     def list_kind(self, number):
         vm = self.vms[number]
         records = tuple(self.at(self.revision).values())
-        vm.known.take_all(self.revision, records)
+        vm.known.apply_listing(self.revision, records)
         if vm.chain is not None:
             self.tell(vm, vm.chain.listed(self.revision, records))
 
     @rule(number=vms)
     def watch(self, number):
         vm = self.vms[number]
-        if vm.known.until == NOTHING:
+        if vm.known.until == NO_REVISION:
             return
         since = vm.chain.until if vm.chain is not None else vm.known.until
         events = self.after(since)
-        vm.known.take_changes(since, self.revision, events)
+        vm.known.apply_changes(since, self.revision, events)
         if vm.chain is not None:
             self.tell(vm, vm.chain.watched(since, self.revision, events))
 
     @rule(number=vms)
     def begin_to_relay(self, number):
         vm = self.vms[number]
-        if vm.chain is None and vm.known.until != NOTHING:
-            vm.chain = RelayChain(vm.known)
+        if vm.chain is None and vm.known.until != NO_REVISION:
+            vm.chain = ChangeLog(vm.known)
 
     @rule(number=vms)
     def end_to_relay(self, number):
@@ -147,14 +147,14 @@
     def tell_word(self, number):
         chain = self.vms[number].chain
         if chain is not None:
-            self.tell(self.vms[number], ChainLink(chain.since, chain.until, ()))
+            self.tell(self.vms[number], ChangeBatch(chain.since, chain.until, ()))
 
     @rule(number=vms, position=positions)
     def deliver(self, number, position):
         vm = self.vms[number]
         if vm.inbox:
             link = vm.inbox.pop(position % len(vm.inbox))
-            vm.known.take_changes(*link)
+            vm.known.apply_changes(*link)
 
     @rule(number=vms, position=positions)
     def lose(self, number, position):
@@ -174,7 +174,7 @@
                     if record.revision > since
                 ]
             )
-            known.take_changes(since, told.until, events, tuple(told.records))
+            known.apply_changes(since, told.until, events, tuple(told.records))
 
     @invariant()
     def nobody_lacks_a_change_of_before_its_revision(self):
@@ -203,9 +203,9 @@
     run_state_machine_as_test(Spreading, settings=RUN)
 
 
-_take_changes = KindRecords.take_changes
-_is_news = RelayChain._is_news
-_listed = RelayChain.listed
+_apply_changes = KindRecords.apply_changes
+_is_news = ChangeLog._is_news
+_listed = ChangeLog.listed
 
 
 def _passes_on_what_is_new_to_itself(monkeypatch):
@@ -213,7 +213,7 @@
         known = event.record.revision <= self._known.until
         return _is_news(self, event) and not known
 
-    monkeypatch.setattr(RelayChain, "_is_news", is_news)
+    monkeypatch.setattr(ChangeLog, "_is_news", is_news)
 
 
 def _lists_without_names(monkeypatch):
@@ -221,7 +221,7 @@
         link = _listed(self, until, records)
         return link and link._replace(names=None)
 
-    monkeypatch.setattr(RelayChain, "listed", listed)
+    monkeypatch.setattr(ChangeLog, "listed", listed)
 
 
 def _compares_with_long_ago(monkeypatch):
@@ -229,23 +229,23 @@
         link = _listed(self, until, records)
         return link and link._replace(compared_at=None)
 
-    monkeypatch.setattr(RelayChain, "listed", listed)
+    monkeypatch.setattr(ChangeLog, "listed", listed)
 
 
 def _closes_gaps(monkeypatch):
-    def take_changes(self, since, until, *told):
-        return _take_changes(self, min(since, self.until), until, *told)
+    def apply_changes(self, since, until, *told):
+        return _apply_changes(self, min(since, self.until), until, *told)
 
-    monkeypatch.setattr(KindRecords, "take_changes", take_changes)
+    monkeypatch.setattr(KindRecords, "apply_changes", apply_changes)
 
 
 def _takes_old_changes(monkeypatch):
-    def take_changes(self, since, until, changes, *told):
+    def apply_changes(self, since, until, changes, *told):
         for event in changes:
             self._take(event)
-        return _take_changes(self, since, until, changes, *told)
+        return _apply_changes(self, since, until, changes, *told)
 
-    monkeypatch.setattr(KindRecords, "take_changes", take_changes)
+    monkeypatch.setattr(KindRecords, "apply_changes", apply_changes)
 
 
 MUTATIONS = (
--- a/hawthornlead/tests/test_incarnations.py
+++ b/hawthornlead/tests/test_incarnations.py
@@ -40,7 +40,7 @@
 class Reaching:
     """Memberships that reach every VM."""
 
-    def reaches(self, vm):
+    def is_reachable(self, vm):
         return True
 
 
@@ -128,7 +128,9 @@
 
 def test_a_word_of_a_later_start_drops_the_former_before_its_entry_comes(site):
     """A VM whose watch is behind sends requests to what is long gone."""
-    site.targets.observe_incarnation(Incarnation("e1", SECOND), RestartSeen.WORD)
+    site.targets.observe_incarnation(
+        Incarnation("e1", SECOND), RestartSeen.PEER_MESSAGE
+    )
     assert site.started_ms == SECOND
     assert site.holding is Holding.UNKNOWN
     site.tell(SECOND, ready=False)
--- a/hawthornlead/tests/test_memberships.py
+++ b/hawthornlead/tests/test_memberships.py
@@ -8,7 +8,7 @@
 from hawthornlead.fleet.registered_orders import RegisteredOrder
 from hawthornlead.gateway.memberships import MOST_OWNERS, Memberships
 from hawthornlead.gateway.records import VmRecord
-from hawthornlead.gateway.relay_roles import STEP_IN_S, RelayRole
+from hawthornlead.gateway.relay_elections import STEP_IN_S, RelayElection
 from hawthornlead.messages import Heartbeat
 from hawthornlead.timers import ManualTimerService
 
@@ -124,7 +124,7 @@
         place = "gijon" if revision < 10 else ("santander", "bilbao")[revision % 2]
         fleet.register(name, revision, place)
     roles = {
-        name: RelayRole(
+        name: RelayElection(
             memberships=fleet.memberships[fleet.names.index(name)],
             mesh=Head(),
             timers=fleet.timers,
--- a/hawthornlead/tests/test_quotas.py
+++ b/hawthornlead/tests/test_quotas.py
@@ -180,7 +180,9 @@
             )
 
         await deployment.until(
-            lambda: all(each._memberships.heard() for each in deployment.gateways)
+            lambda: all(
+                each._memberships.recently_seen() for each in deployment.gateways
+            )
         )
         answers = [await ask(KEY, number) for number in range(30)]
         refused = [answer for answer in answers if answer.status == 429]
--- a/hawthornlead/tests/test_relay_roles.py
+++ b/hawthornlead/tests/test_relay_elections.py
@@ -1,7 +1,11 @@
 """Tests of which VMs watch the store for the others, and how another steps in."""
 
 from hawthornlead.gateway.records import StoredRecord, StoreEvent
-from hawthornlead.gateway.relay_roles import STEP_IN_S, WORD_KEPT_S, RelayRole
+from hawthornlead.gateway.relay_elections import (
+    RELAY_HEARTBEAT_TTL_S,
+    STEP_IN_S,
+    RelayElection,
+)
 from hawthornlead.messages.gateways import (
     RelayedChanges,
     RelayedKind,
@@ -29,7 +33,7 @@
 
 def role_of(vm, timers):
     view = FakeFleetView(vm)
-    return RelayRole(memberships=view, mesh=view, timers=timers)
+    return RelayElection(memberships=view, mesh=view, timers=timers)
 
 
 async def hear(roles, timers, seconds, *vouching):
@@ -82,7 +86,7 @@
     timers = ManualTimerService()
     third = role_of("vm-2", timers)
     await hear([third], timers, 1.0, "vm-0", "vm-1")
-    await timers.advance(WORD_KEPT_S)
+    await timers.advance(RELAY_HEARTBEAT_TTL_S)
     assert not third.should_relay()
     await timers.advance(STEP_IN_S)
     assert third.should_relay()
@@ -94,23 +98,23 @@
     a, b, c = (site.add(name) for name in "abc")
     for vm in (a, b, c):
         vm.stop()
-    a.watchers["config"]._known.take_all(7, ())
-    c.watchers["config"]._known.take_all(7, ())
+    a.watchers["config"]._known.apply_listing(7, ())
+    c.watchers["config"]._known.apply_listing(7, ())
     await a.relays._on_word(
         b.mesh.myself, RelayHeartbeat((RelayedKind("config", 7, 8),))
     )
     record = RelayedRecord("x", 9, '[{"n": 1}, null]')
     changes = RelayedChanges("config", 7, 9, (record,))
     await a.relays._on_changes(b.mesh.myself, changes)
-    assert a.relays.vouched("config")
+    assert a.relays.is_relayed("config")
     await a.relays._on_word(b.mesh.myself, RelayHeartbeat(()))
-    assert not a.relays.vouched("config")
+    assert not a.relays.is_relayed("config")
     word = RelayHeartbeat((RelayedKind("config", 9, 9),))
     await a.relays._on_word(c.mesh.myself, word)
-    assert a.relays.vouched("config")
+    assert a.relays.is_relayed("config")
     # One that missed what the first relay told last must ask.
     await c.relays._on_word(a.mesh.myself, word)
-    assert not c.relays.vouched("config")
+    assert not c.relays.is_relayed("config")
     await site.stop()
 
 
@@ -120,7 +124,7 @@
     a, b, c = (site.add(name) for name in "abc")
     for vm in (a, b, c):
         vm.stop()
-    a.watchers["config"]._known.take_all(7, ())
+    a.watchers["config"]._known.apply_listing(7, ())
     await a.relays._on_word(
         b.mesh.myself, RelayHeartbeat((RelayedKind("config", 7, 7),))
     )
@@ -128,7 +132,7 @@
         c.mesh.myself, RelayHeartbeat((RelayedKind("config", 3, 8),))
     )
     await a.relays._on_word(b.mesh.myself, RelayHeartbeat(()))
-    assert a.relays.vouched("config")
+    assert a.relays.is_relayed("config")
     await site.stop()
 
 
@@ -140,12 +144,12 @@
         vm.stop()
     told = []
     a.mesh.broadcast = told.append
-    a.watchers["config"]._known.take_all(5, ())
+    a.watchers["config"]._known.apply_listing(5, ())
     a.relays._relaying = True
     a.relays._begin_chain("config")
     record = RelayedRecord("x", 6, '[{"n": 1}, null]')
     await a.relays._on_changes(b.mesh.myself, RelayedChanges("config", 5, 6, (record,)))
     seen = StoredRecord("x", 6, {"n": 1}, None)
-    a.relays.note_watched("config", 5, 6, (StoreEvent(seen, False),))
+    a.relays.on_watched("config", 5, 6, (StoreEvent(seen, False),))
     assert told == [RelayedChanges("config", 5, 6, (record,))]
     await site.stop()
--- a/hawthornlead/tests/test_unreadable_records.py
+++ b/hawthornlead/tests/test_unreadable_records.py
@@ -123,9 +123,9 @@
     site.write_bad(TARGETS_KIND, "n1", 7)
     await site.agree()
     event = StoreEvent(good, False)
-    known.take_changes(good.revision - 1, good.revision, (event,))
-    known.take_changes(known.until + 5, known.until + 6, (event,))
-    known.take_all(good.revision, (good,))
+    known.apply_changes(good.revision - 1, good.revision, (event,))
+    known.apply_changes(known.until + 5, known.until + 6, (event,))
+    known.apply_listing(good.revision, (good,))
     assert not vm.targets.entries
 
 
@@ -174,7 +174,7 @@
     told = await site.told()
     assert len(told) == 2
     for kind in KINDS:
-        await site.until(lambda k=kind: all(vm.relays.vouched(k) for vm in told))
+        await site.until(lambda k=kind: all(vm.relays.is_relayed(k) for vm in told))
         await site.until(lambda k=kind: not any(vm.watchers[k]._current for vm in told))
     calls = len(site.store.calls)
     for bad in ("x", {"service": 5}, target_spec(state="odd")):
@@ -218,7 +218,7 @@
     """
     a, b = site.add("a"), site.add("b")
     for vm in (a, b):
-        vm.memberships.note_serving(True)
+        vm.memberships.mark_serving(True)
         vm.memberships.start()
         vm.memberships._mesh.heartbeat_changed()
     await site.until(lambda: a.memberships.record_of("b") is not None)
--- a/hawthornlead/tests/test_watchers.py
+++ b/hawthornlead/tests/test_watchers.py
@@ -31,7 +31,9 @@
 class Follower:
     """One VM that follows a kind."""
 
-    def __init__(self, network, timers, store, name, essence=lambda record: record):
+    def __init__(
+        self, network, timers, store, name, effective_content=lambda record: record
+    ):
         self.mesh = network.join(name)
         self.mesh.heartbeat_source = lambda: Heartbeat(0, 0, False, 0, 1, 0.0)
         events = EventRing(name, HybridClock(timers))
@@ -63,7 +65,7 @@
             relays=self.relays,
             on_changed=self._take,
             on_deleted=lambda name: self.seen.pop(name),
-            essence=essence,
+            effective_content=effective_content,
         )
 
     def start(self):
@@ -139,12 +141,12 @@
     gone = StoredRecord("t", 7, None, None)
     for event in (newer, False), (older, False), (gone, True):
         # None of these says that nothing is missing before it.
-        assert not known.take_changes(4, 9, (StoreEvent(*event),))
+        assert not known.apply_changes(4, 9, (StoreEvent(*event),))
         assert follower.seen == {"t": 9}
-    assert known.take_changes(-1, 9, (StoreEvent(newer, False),))
+    assert known.apply_changes(-1, 9, (StoreEvent(newer, False),))
     for event in (older, False), (gone, True):
-        assert known.take_changes(4, 9, (StoreEvent(*event),))
-    known.take_all(7, ())
+        assert known.apply_changes(4, 9, (StoreEvent(*event),))
+    known.apply_listing(7, ())
     assert follower.seen == {"t": 9}
     follower.stop()
 
@@ -156,7 +158,7 @@
     for revision, number in enumerate((1, 2, 3, 14, 15), start=1):
         record = StoredRecord("t", revision, {"n": number}, None)
         events = (StoreEvent(record, False),)
-        follower.watcher._known.take_changes(revision - 1, revision, events)
+        follower.watcher._known.apply_changes(revision - 1, revision, events)
     assert follower.changes == [("t", 1), ("t", 14)]
     follower.stop()
 
@@ -171,7 +173,7 @@
     await until(lambda: all(f.seen == {"t": 1} for f in followers))
     told = [f for f in followers if not f.relays.is_relay]
     assert len(told) == len(followers) - 2
-    await until(lambda: all(f.relays.vouched("things") for f in told))
+    await until(lambda: all(f.relays.is_relayed("things") for f in told))
     await until(lambda: not any(f.watcher._current for f in told))
     store.write("things", "t", {"n": 2})
     store.write("things", "u", {"n": 3})
@@ -189,20 +191,20 @@
     b = Follower(network, timers, store, "b")
     sender = b.mesh.myself
     await a.relays._on_word(sender, RelayHeartbeat((RelayedKind("things", 4, 6),)))
-    assert not a.relays.vouched("things")
-    a.watcher._known.take_all(5, ())
-    assert a.relays.vouched("things")
+    assert not a.relays.is_relayed("things")
+    a.watcher._known.apply_listing(5, ())
+    assert a.relays.is_relayed("things")
     record = RelayedRecord("t", 7, '[{"n": 7}, null]')
     await a.relays._on_changes(sender, RelayedChanges("things", 4, 7, (record,)))
     await a.relays._on_word(sender, RelayHeartbeat((RelayedKind("things", 7, 8),)))
-    assert a.relays.vouched("things")
+    assert a.relays.is_relayed("things")
     await a.relays._on_word(sender, RelayHeartbeat((RelayedKind("things", 9, 9),)))
-    assert not a.relays.vouched("things")
+    assert not a.relays.is_relayed("things")
     # What is told beyond a gap is taken, and closes no gap.
     later = RelayedRecord("t", 11, '[{"n": 11}, null]')
     await a.relays._on_changes(sender, RelayedChanges("things", 9, 11, (later,)))
     assert a.seen == {"t": 11}
-    assert not a.relays.vouched("things")
+    assert not a.relays.is_relayed("things")
     a.stop()
     b.stop()
 
@@ -214,11 +216,11 @@
     for follower in followers:
         follower.start()
     told = [f for f in followers if not f.relays.is_relay]
-    await until(lambda: all(f.relays.vouched("things") for f in told))
+    await until(lambda: all(f.relays.is_relayed("things") for f in told))
     for relay in (f for f in followers if f.relays.is_relay):
         for other in told:
             network.silence(relay.mesh.vm, other.mesh.vm)
-    await until(lambda: not any(f.relays.vouched("things") for f in told))
+    await until(lambda: not any(f.relays.is_relayed("things") for f in told))
     store.write("things", "t", {"n": 5})
     await until(lambda: all(f.seen == {"t": 5} for f in told))
     for follower in followers:
@@ -289,7 +291,7 @@
     for follower in followers:
         follower.start()
     told = [f for f in followers if not f.relays.is_relay]
-    await until(lambda: all(f.relays.vouched("things") for f in told))
+    await until(lambda: all(f.relays.is_relayed("things") for f in told))
 
     async def unanswered(*args, **kwargs):
         await asyncio.sleep(3600)
@@ -297,7 +299,7 @@
     relays = [f for f in followers if f.relays.is_relay]
     for relay in relays:
         relay.client._client.fetch = unanswered
-    await until(lambda: not any(f.relays.vouched("things") for f in told))
+    await until(lambda: not any(f.relays.is_relayed("things") for f in told))
     assert all(relay.watcher._is_fresh() for relay in relays)
     store.write("things", "t", {"n": 2})
     await until(lambda: all(f.seen == {"t": 2} for f in told))
@@ -311,13 +313,13 @@
     a = Follower(network, timers, store, "a")
     b = Follower(network, timers, store, "b")
     sender = b.mesh.myself
-    a.watcher._known.take_all(4, ())
+    a.watcher._known.apply_listing(4, ())
     await a.relays._on_word(sender, RelayHeartbeat((RelayedKind("things", 4, 4),)))
-    assert a.relays.vouched("things")
+    assert a.relays.is_relayed("things")
     await a.relays._on_word(sender, RelayHeartbeat(()))
-    assert not a.relays.vouched("things")
+    assert not a.relays.is_relayed("things")
     await a.relays._on_word(sender, RelayHeartbeat((RelayedKind("things", 4, 4),)))
-    assert a.relays.vouched("things")
+    assert a.relays.is_relayed("things")
     a.stop()
     b.stop()
 
@@ -349,7 +351,7 @@
     def take(revision, deleted):
         record = StoredRecord("t", revision, {"n": revision}, None)
         # From beyond a gap: by the revisions alone nothing is known to be old.
-        known.take_changes(4, revision, (StoreEvent(record, deleted),))
+        known.apply_changes(4, revision, (StoreEvent(record, deleted),))
 
     take(5, deleted=False)
     take(9, deleted=True)
