--- a/hawthornlead/gateway/target_tables.py
+++ b/hawthornlead/gateway/target_tables.py
@@ -107,7 +107,7 @@
     def is_orderable(self, target: str) -> bool:
         """Whether the VM that orders an engine is reachable now."""
         owner = self.owner(target)
-        return bool(owner) and self._memberships.reaches(owner)
+        return bool(owner) and self._memberships.is_reachable(owner)
 
     def holding(
         self, entry: TargetEntry, service: ServiceSpec, key: AdapterKey
@@ -242,7 +242,7 @@
     def apply_holdings(self, vm: str, holdings: TargetHoldings) -> None:
         """Apply what an owner reports of its engine, unless a newer owner is known."""
         incarnation = Incarnation(holdings.target, holdings.started_ms)
-        if self.observe_incarnation(incarnation, RestartSeen.WORD):
+        if self.observe_incarnation(incarnation, RestartSeen.PEER_MESSAGE):
             self._observed_target(holdings.target).apply(
                 vm, holdings, self._timers.now()
             )
--- a/hawthornlead/tests/test_unreadable_records.py
+++ b/hawthornlead/tests/test_unreadable_records.py
@@ -124,9 +124,9 @@
     site.write_bad(TARGETS_KIND, "n1", 7)
     await site.agree()
     event = StoreEvent(good, False)
-    known.take_changes(good.revision - 1, good.revision, (event,))
-    known.take_changes(known.until + 5, known.until + 6, (event,))
-    known.take_all(good.revision, (good,))
+    known.apply_changes(good.revision - 1, good.revision, (event,))
+    known.apply_changes(known.until + 5, known.until + 6, (event,))
+    known.apply_listing(good.revision, (good,))
     assert not vm.targets.entries
 
 
@@ -176,7 +176,9 @@
     subscribers = await site.told()
     assert len(subscribers) == 2
     for kind in KINDS:
-        await site.until(lambda k=kind: all(vm.relays.vouched(k) for vm in subscribers))
+        await site.until(
+            lambda k=kind: all(vm.relays.is_relayed(k) for vm in subscribers)
+        )
         await site.until(
             lambda k=kind: not any(vm.watchers[k]._current for vm in subscribers)
         )
@@ -222,7 +224,7 @@
     """
     a, b = site.add("a"), site.add("b")
     for vm in (a, b):
-        vm.memberships.note_serving(True)
+        vm.memberships.mark_serving(True)
         vm.memberships.start()
         vm.memberships._mesh.heartbeat_changed()
     await site.until(lambda: a.memberships.record_of("b") is not None)
