--- a/hawthornlead/connection_pools.py
+++ b/hawthornlead/connection_pools.py
@@ -1,6 +1,6 @@
-"""Connections to other processes, kept while idle for the next exchange.
+"""Pools of connections to other processes, kept while idle for later exchanges.
 
-The newest idle connection is used first, so that the others age and are closed::
+The newest idle connection is reused first, so that the others expire and are closed::
 
     pool = ConnectionPool(timers=timers, connect_s=0.5, unacknowledged_s=2.5)
     opened = await pool.open("10.128.0.9:8080")
@@ -24,7 +24,7 @@
 
 
 class OpenStream(NamedTuple):
-    """A connection that stands; ``reused`` if it carried an exchange before."""
+    """An open connection; ``reused`` if it carried an exchange before."""
 
     stream: iostream.IOStream
     reused: bool
@@ -38,9 +38,10 @@
 class ConnectionPool:
     """Open connections by address.
 
-    A new one must stand within ``connect_s`` seconds. The system gives a connection up
-    when bytes stay unacknowledged for ``unacknowledged_s``: one that something on the
-    way forgot stays silent for good. No more than ``most_idle`` are kept an address.
+    A new connection must be established within ``connect_s`` seconds. The system closes
+    a connection when bytes stay unacknowledged for ``unacknowledged_s``. Without that,
+    a connection whose state a device on the path has lost would stay silent for ever.
+    At most ``most_idle`` idle connections are kept per address.
     """
 
     def __init__(
@@ -61,7 +62,7 @@
 
     @property
     def opened(self) -> int:
-        """How many connections were opened since the start."""
+        """The number of connections opened since the start."""
         return self._opened
 
     async def open(
@@ -69,19 +70,19 @@
     ) -> Result[OpenStream, Failure]:
         """Return an idle connection or a new one.
 
-        Nothing has been sent when this fails, so its error is
-        ``TARGET_UNREACHABLE``; it is ``refused`` if nobody listens. ``fresh`` True
-        never reuses: a connection gone silent says nothing of the process at its end, a
-        new one does. ``within_s`` is less than the pool's own time for it, if given.
+        Nothing has been sent when this fails, so the error is ``TARGET_UNREACHABLE``,
+        with ``refused`` if nobody listens. With ``fresh`` no connection is reused: a
+        silent old connection proves nothing about the process at its end, but a new one
+        does. ``within_s`` replaces ``connect_s`` by a shorter time.
         """
         stream = None if fresh else self._take(address)
         if stream is not None:
             return Ok(OpenStream(stream, True))
         host, _, port = address.rpartition(":")
         try:
-            # The client closes what it tried when its time is out. Ended from outside,
-            # it would leave a socket open for each attempt at an address in the dark,
-            # for the minutes after which the system gives up.
+            # With its own timeout the client closes the socket. If it were cancelled
+            # from outside, each attempt at an address that doesn't answer would leave
+            # a socket open for the minutes until the system gives up.
             stream = await self._client.connect(
                 host.strip("[]"), int(port), timeout=within_s or self._connect_s
             )
@@ -102,8 +103,8 @@
         if stream.closed() or keep_s <= 0 or len(kept) >= self._most_idle:
             stream.close()
             return
-        # With a close callback the stream listens while idle, so that a closing is
-        # seen before the next request is written into it.
+        # With a close callback the stream is read while idle, so that its closing is
+        # noticed before the next request is written to it.
         stream.set_close_callback(lambda: None)
         kept.append(_Kept(self._timers.now() + keep_s, stream))
 
@@ -113,7 +114,7 @@
             kept.stream.close()
 
     def sweep(self) -> None:
-        """Close the connections that were idle for too long."""
+        """Close connections that were idle for too long, or that the peer closed."""
         now = self._timers.now()
         for address, kept in tuple(self._kept.items()):
             while kept and (kept[0].until <= now or kept[0].stream.closed()):
--- a/hawthornlead/logs.py
+++ b/hawthornlead/logs.py
@@ -1,8 +1,8 @@
-"""Log set-up: loguru to standard error, as text or as JSON lines.
+"""Configures logs: loguru to standard error, as text or as JSON lines.
 
-This is the one module that imports ``logging``: tornado and websockets log through
-the standard library, and without a handler of ours their lines would go past the
-chosen level and form. Everything else imports ``logger`` from loguru::
+This is the only module that imports ``logging``. Tornado and websockets log through the
+standard library, and without this module's handler their lines would bypass the chosen
+level and format. All other modules import ``logger`` from loguru::
 
     configure_logs(settings, timers)
 """
@@ -27,14 +27,14 @@
 REPEAT_LINES = 5
 REPEAT_WINDOW_S = 10.0
 REPEAT_KEYS = 1024
-# A budget may be spent ahead by the lines of this time: an incident begins with many.
+# The budget saves up the lines of this time, since an incident begins with many.
 BUDGET_BURST_S = 5.0
-# Below this share of the budget, lines of ordinary successes are sampled.
+# With less than this share of the budget left, lines of ordinary successes are sampled.
 ORDINARY_SHARE = 0.25
 SAMPLED = 16
 # REQUEST_PLACED and REQUEST_SERVED, ORDER_GIVEN and ADAPTER_READY.
 ORDINARY_EVENTS = frozenset((607, 608, 522, 523))
-# Where events come from, in the lines of their logs.
+# The module that lines of events name as their origin.
 EVENTS_MODULE = "hawthornlead.events"
 AFTER_CANCEL = "Exception after Future was cancelled"
 
@@ -51,7 +51,7 @@
 
 
 class _Window:
-    """What was written and left out of one kind of line."""
+    """How many lines of one kind were written and left out in one time window."""
 
     def __init__(self, started_at: float):
         self.started_at = started_at
@@ -62,13 +62,13 @@
 class RepeatLimiter:
     """A loguru filter that writes only the first lines of each kind in a window.
 
-    The failure it guards against: a target or peer that fails for every request
-    makes a line per request, which costs more processor time than the requests and
-    hides all other lines. Lines are alike when they come from the same place with
-    the same event number and subject. At most ``lines`` of them are written per
-    ``window_s`` seconds; the first line after that tells how many were left out.
-    Memory is bounded because only the ``REPEAT_KEYS`` newest kinds are remembered.
-    CRITICAL lines are always written. The event ring keeps every event all the same.
+    It guards against a target or peer that fails for every request: a line per request
+    costs more processor time than the requests and hides all other lines. Lines are
+    of one kind if they come from the same place in the code with the same event number
+    and subject. At most ``lines`` of them are written per ``window_s`` seconds; the
+    first line after that tells how many were left out. Memory is bounded because only
+    the ``REPEAT_KEYS`` newest kinds are remembered. CRITICAL lines are always written.
+    The event ring still keeps every event.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         self._windows: OrderedDict[_LineKey, _Window] = OrderedDict()
 
     def __call__(self, record: dict[str, Any]) -> bool:
-        """Tell whether the line is to be written."""
+        """Return whether the line is to be written."""
         extra = record["extra"]
         extra["left_out"] = ""
         if record["level"].name == "CRITICAL":
@@ -104,7 +104,7 @@
         return False
 
     def _window(self, key: _LineKey) -> tuple[_Window, int]:
-        """Return the window of ``key`` and what the one before it left out."""
+        """Return the current window of ``key``, and how many the last left out."""
         now = self._timers.now()
         window = self._windows.get(key)
         if window is not None and now - window.started_at < self._window_s:
@@ -118,10 +118,10 @@
 
 
 class LibraryHandler(logging.Handler):
-    """Hands the lines of libraries that use ``logging`` on to loguru."""
+    """Forwards the lines of libraries that use ``logging`` to loguru."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Log one line of a library under the library's own place and level."""
+        """Log one line of a library with its own place in the code and its level."""
         if record.msg == AFTER_CANCEL and _is_closed_connection(record):
             return
         try:
@@ -135,71 +135,71 @@
 
 
 class LineBudget:
-    """A loguru filter that keeps the lines of a process within a rate.
-
-    The failure it guards against: under a flood of requests, or of failures, lines
-    cost more processor time than the requests. Lines of ordinary successes give way
-    first, when a quarter of the budget is left: only one in ``SAMPLED`` requests keeps
-    its lines then, chosen by a hash of the request's id, so that its story is whole
-    on every VM. Refusals, failures and beliefs are dropped only when nothing is left.
-    The next line that is written tells how many were.
+    """A loguru filter that limits the rate of all lines of a process.
+
+    It guards against floods of requests or failures, in which lines cost more processor
+    time than the requests. Lines of ordinary successes are reduced first. Once only a
+    quarter of the budget is left, one in ``SAMPLED`` requests keeps its lines. It is
+    chosen by a hash of the request's id, so that its lines are complete on every VM.
+    All other lines are dropped only when nothing is left. The next line that is written
+    tells how many were dropped.
     """
 
     def __init__(self, timers: TimerService, lines_per_s: float):
         self._timers = timers
         self._rate = lines_per_s
-        self._most = lines_per_s * BUDGET_BURST_S
-        self._left = self._most
+        self._max_left = lines_per_s * BUDGET_BURST_S
+        self._left = self._max_left
         self._at = timers.now()
         self._dropped = 0
 
     def __call__(self, record: dict[str, Any]) -> bool:
-        """Tell whether the line is to be written."""
+        """Return whether the line is to be written."""
         extra = record["extra"]
         extra["left_out"] = ""
         event, subject = extra.get("event"), extra.get("subject", "")
-        if not self.take(record["level"].name, event, subject):
+        if not self.acquire(record["level"].name, event, subject):
             return False
         extra["left_out"] = self.left_out()
         return True
 
-    def take(self, level: str, event: int | None, subject: str) -> bool:
-        """Take one line of the budget; False if the line is to be dropped."""
+    def acquire(self, level: str, event: int | None, subject: str) -> bool:
+        """Spend one line of the budget; return False if the line must be dropped."""
         now = self._timers.now()
-        self._left = min(self._most, self._left + self._rate * (now - self._at))
+        self._left = min(self._max_left, self._left + self._rate * (now - self._at))
         self._at = now
-        if level != "CRITICAL" and not self._affords(event, subject):
+        if level != "CRITICAL" and not self._is_affordable(event, subject):
             self._dropped += 1
             return False
         self._left -= 1
         return True
 
     def left_out(self) -> str:
-        """Return how many lines were dropped, once, for the next line that goes out."""
+        """Return a note on the lines dropped since the last call, or an empty text."""
         dropped, self._dropped = self._dropped, 0
         return f" ({dropped} lines left out)" if dropped else ""
 
-    def _affords(self, event: int | None, subject: str) -> bool:
+    def _is_affordable(self, event: int | None, subject: str) -> bool:
         if self._left < 1:
             return False
         if event not in ORDINARY_EVENTS:
             return True
-        if self._left > self._most * ORDINARY_SHARE:
+        if self._left > self._max_left * ORDINARY_SHARE:
             return True
         return zlib.crc32(subject.encode()) % SAMPLED == 0
 
 
 class EventWriter:
-    """Writes events as lines of JSON within a budget, and nothing else.
+    """Writes events as JSON lines within a budget, without loguru.
 
-    A record of loguru's takes several times as long to make as the line itself. The
-    lines are the same as those of ``json_line``.
+    A loguru record takes several times as long to create as the line itself. The lines
+    are the same as those of ``json_line``.
     """
 
     def __init__(self, budget: LineBudget, stream: "TextIO | UnblockedStream", level):
         self._budget = budget
         self._stream = stream
-        self._least = logger.level(level).no
+        self._min_level = logger.level(level).no
         self._numbers: dict[str, int] = {}
 
     def __call__(self, line: EventLine) -> None:
@@ -208,9 +208,9 @@
         number = self._numbers.get(kind.level)
         if number is None:
             number = self._numbers[kind.level] = logger.level(kind.level).no
-        if number < self._least:
+        if number < self._min_level:
             return
-        if not self._budget.take(kind.level, kind.number, line.subject):
+        if not self._budget.acquire(kind.level, kind.number, line.subject):
             return
         body = {
             "time": datetime.now(UTC).isoformat(),
@@ -228,56 +228,57 @@
 
 
 class UnblockedStream:
-    """Writes whole lines to a descriptor and drops those that it does not take.
+    """Writes whole lines to a descriptor without blocking, and drops the excess.
 
-    The failure it guards against: a reader of the logs that stops reading fills the
-    pipe, and a process that writes on stands still with all its requests.
+    It guards against a log reader that stops reading: the pipe fills up, and a blocking
+    write would stop the process with all its requests.
     """
 
     def __init__(self, descriptor: int):
         self._descriptor = descriptor
         self._dropped = 0
-        self._untold = 0
-        self._rest = b""
+        self._unlogged = 0
+        self._remainder = b""
         os.set_blocking(descriptor, False)
 
     @property
     def dropped(self) -> int:
-        """How many lines were dropped since the start."""
+        """The number of lines dropped since the start."""
         return self._dropped
 
     def write(self, line: str) -> None:
-        """Write one line, or drop it; the next one that is written tells how many."""
-        if not self._write_rest():
+        """Write one line, or drop it; the next line reports how many were dropped."""
+        if not self._write_remainder():
             self._drop()
             return
-        if self._untold:
-            told = (
-                f'{{"level": "WARNING", "message": "{self._untold} lines dropped"}}\n'
+        if self._unlogged:
+            notice = (
+                f'{{"level": "WARNING", "message": "{self._unlogged} lines dropped"}}\n'
             )
-            self._rest = told.encode()
-            self._untold = 0
-        self._rest += line.encode(errors="backslashreplace")
-        self._write_rest()
+            self._remainder = notice.encode()
+            self._unlogged = 0
+        self._remainder += line.encode(errors="backslashreplace")
+        self._write_remainder()
 
     def _drop(self) -> None:
         self._dropped += 1
-        self._untold += 1
+        self._unlogged += 1
 
-    def _write_rest(self) -> bool:
-        """Write what the descriptor did not take before; False if some is left.
+    def _write_remainder(self) -> bool:
+        """Write the bytes left from before; return False if some are still left.
 
-        A pipe that is nearly full takes a part of a line. Were its rest dropped, the
-        next line would go on in the middle of this one and neither could be read.
+        A pipe that is almost full accepts only a part of a line. If the remainder were
+        dropped, the next line would continue in the middle of this one, and neither
+        would be readable.
         """
-        if not self._rest:
+        if not self._remainder:
             return True
         try:
-            written = os.write(self._descriptor, self._rest)
+            written = os.write(self._descriptor, self._remainder)
         except BlockingIOError:
             return False
-        self._rest = self._rest[written:]
-        return not self._rest
+        self._remainder = self._remainder[written:]
+        return not self._remainder
 
 
 def configure_logs(
@@ -285,12 +286,12 @@
     timers: TimerService,
     stream: TextIO | UnblockedStream | None = None,
 ) -> EventWriter | None:
-    """Write logs as the settings of ``[logs]`` say, to standard error.
+    """Write logs to standard error according to the settings of ``[logs]``.
 
-    ``stream`` replaces standard error. Calling it again replaces what an earlier call
-    set up. ``LOG_LINES_PER_S`` bounds all lines; without it, lines that repeat are
-    left out. Returns what may write events in place of loguru, where the lines are of
-    JSON and bounded.
+    ``stream`` replaces standard error. A later call replaces the configuration of an
+    earlier one. ``LOG_LINES_PER_S`` limits all lines; without it, repeated lines are
+    left out. Returns a writer that can replace loguru for events, if the format is JSON
+    and the rate is limited, else None.
     """
     stream = sys.stderr if stream is None else stream
     lines_per_s = settings["LOG_LINES_PER_S"]
@@ -318,10 +319,10 @@
 
 
 def quiet_libraries() -> None:
-    """Keep libraries' lines from the terminal of a command.
+    """Suppress libraries' log lines in the terminal of a command.
 
-    The command tells its failure itself; without a handler the standard library
-    prints the line of tornado besides it.
+    The command reports its failure itself. Without any handler the standard library
+    would also print Tornado's line.
     """
     logging.basicConfig(handlers=[logging.NullHandler()], force=True)
 
@@ -329,7 +330,7 @@
 def json_line(record: dict[str, Any]) -> str:
     """Return one log record as a line of JSON, newline included.
 
-    ``event`` and ``subject`` are null for a line that is no numbered event.
+    ``event`` and ``subject`` are null for a line that is not a numbered event.
     """
     extra = record["extra"]
     line = {
@@ -350,11 +351,11 @@
 
 
 def _is_closed_connection(record: logging.LogRecord) -> bool:
-    """Whether a record tells of a connection that ended.
+    """Whether a record reports a closed connection.
 
-    Tornado logs the end of a request that was cancelled as an error with its
-    traceback. Watches are cancelled whenever they go silent and when the process
-    stops; that a cancelled request's connection is closed then is no fault.
+    Tornado logs the end of a cancelled request as an error with a traceback. Watches
+    are cancelled when they go silent and when the process stops, so a closed connection
+    of a cancelled request is not a fault.
     """
     return bool(record.exc_info) and isinstance(
         record.exc_info[1], HTTPStreamClosedError | StreamClosedError
@@ -362,7 +363,7 @@
 
 
 def _depth_of_caller() -> int:
-    """Count the frames between ``LibraryHandler.emit`` and the library's own line."""
+    """Count the frames between ``LibraryHandler.emit`` and the library's call."""
     frame, depth = inspect.currentframe().f_back, 0
     while frame and (depth == 0 or frame.f_code.co_filename == logging.__file__):
         frame = frame.f_back
--- a/hawthornlead/main.py
+++ b/hawthornlead/main.py
@@ -13,13 +13,13 @@
 
 
 class Commands(click.Group):
-    """The commands; those of operators are loaded when one is asked for.
+    """The commands; those for operators are loaded only when one is requested.
 
-    Loading them takes a third of the time in which a VM's process starts.
+    Loading them takes a third of the start-up time of a VM's process.
     """
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Name all commands."""
+        """Return the names of all commands."""
         self._load()
         return super().list_commands(ctx)
 
@@ -42,7 +42,7 @@
 @click.group(cls=Commands)
 @click.version_option(__version__, prog_name="hawthornlead")
 def cli():
-    """Serve answers from base models dressed in very many LoRA adapters."""
+    """Serve answers from base models with very many LoRA adapters."""
     quiet_libraries()
 
 
@@ -54,7 +54,7 @@
     """Run the daemon of this VM until it is asked to stop."""
     settings = effective_settings(path)
     configure_logs(settings, TimerService())
-    # Imported here so that queries do not pay for loading the whole daemon.
+    # Imported here, so that queries do not load the whole daemon.
     from .daemon.daemons import run_daemon
 
     ended = run_daemon(settings)
--- a/hawthornlead/metrics.py
+++ b/hawthornlead/metrics.py
@@ -1,7 +1,7 @@
-"""Metrics by prometheus_client, one registry per process object.
+"""The metrics of a process, by prometheus_client.
 
-Names carry their unit. Several processes' parts can live in one interpreter in
-tests, so every ``Metrics`` has a registry of its own.
+Names contain their unit. In tests the parts of several processes run in one
+interpreter, so every ``Metrics`` has its own registry.
 """
 
 from typing import NamedTuple
@@ -124,9 +124,10 @@
         )
 
     def of_peers(self, direction: str, message: str) -> "PeerCounters":
-        """Return the counters of one kind of message, found once.
+        """Return the counters of one kind of message in one direction.
 
-        Finding a counter by its labels took longer than counting, for each frame.
+        They are cached, since a lookup by labels for each frame takes longer than
+        counting.
         """
         found = self._of_peers.get((direction, message))
         if found is None:
