--- a/hawthornlead/gateway/adapter_requests.py
+++ b/hawthornlead/gateway/adapter_requests.py
@@ -16,13 +16,13 @@
 from ..timers import TimerService
 from ..waits import Signal
 from .engine_slots import AdapterKey, EngineSlots
-from .fetch_trackers import FIRST_LOOK_S
+from .fetch_trackers import FIRST_POLL_S
 from .load_checks import MAX_ARRIVING, LoadChecks
 from .slot_queues import SlotRequest
 from .slot_waits import SlotWaits
 
 # A fetch takes 0.25 to 0.3 s, so that with four at once one ends every 65 ms or so.
-FETCH_TURN_S = 0.065
+FETCH_INTERVAL_S = 0.065
 
 
 class AdapterRequests:
@@ -49,11 +49,11 @@
         self._waiting: dict[AdapterKey, int] = {}
         self._changed = Signal()
 
-    def waits(self, key: AdapterKey) -> bool:
+    def is_waiting(self, key: AdapterKey) -> bool:
         """Whether a request waits for an adapter."""
         return key in self._waiting
 
-    def note_changed(self) -> None:
+    def on_changed(self) -> None:
         """Look again at what the engine holds."""
         self._changed.fire()
 
@@ -73,7 +73,7 @@
         order the engine, ``LOAD_FAILED`` if the adapter isn't ready in time.
         """
         key = wanted.key
-        self._slots.note_use(key, 1, self._timers.now())
+        self._slots.record_use(key, 1, self._timers.now())
         give_up_at = self._timers.now() + wait_s
         self._waiting[key] = self._waiting.get(key, 0) + 1
         try:
@@ -93,23 +93,23 @@
             left_s = give_up_at - self._timers.now()
             if left_s <= 0:
                 return Err(Failure(ErrorKind.LOAD_FAILED, f"{key} is not ready", 0.3))
-            if self._checks.is_coming(key, version):
+            if self._checks.is_arriving(key, version):
                 await self._changed.wait(self._timers, left_s)
                 continue
             if self._slots.arriving >= MAX_ARRIVING:
-                turn_s = FETCH_TURN_S * self._fetches_ahead(key)
-                if turn_s > left_s - FIRST_LOOK_S:
+                turn_s = FETCH_INTERVAL_S * self._fetches_ahead(key)
+                if turn_s > left_s - FIRST_POLL_S:
                     detail = "too many loads at once"
                     return Err(Failure(ErrorKind.NO_SLOT, detail, turn_s))
                 await self._changed.wait(self._timers, left_s)
                 continue
-            ordered = await self._have_ordered(wanted, version, left_s)
+            ordered = await self._wait_and_order(wanted, version, left_s)
             if ordered.is_err():
                 return ordered
         slot = self._slots.slots.get(key)
         return Ok(slot.version if slot else version)
 
-    async def _have_ordered(
+    async def _wait_and_order(
         self, wanted: SlotRequest, version: int, left_s: float
     ) -> Result[None, Failure]:
         """Have a load ordered once there is a slot for it."""
--- a/hawthornlead/gateway/engine_managers.py
+++ b/hawthornlead/gateway/engine_managers.py
@@ -1,4 +1,4 @@
-"""The engines of the deployment, and those among them that this VM orders."""
+"""Claims engines for this VM, and serves the requests to engines owned here."""
 
 from result import Result
 
@@ -39,21 +39,21 @@
 from .slot_queues import SlotRequest
 from .target_loads import TargetLoads
 from .target_tables import TargetTable
-from .unacknowledged_orders import LATE_ORDER_S, UnacknowledgedOrders
+from .unacknowledged_orders import MAX_ORDER_DELAY_S, UnacknowledgedOrders
 
-CLAIM_EVERY_S = 0.25
-# A count of uses is forgotten after some half-lives of 10 s.
-FORGET_EVERY_S = 10.0
-# Changes of one engine within this time are told in one message; the more VMs, the
-# longer, as each change is a message to each of them.
-GATHER_S = 0.01
-GATHER_EACH_S = 0.0005
-# What a VM that leaves waits for its claims and releases: three calls of the store.
-CHANGES_S = 3.0
+CLAIM_INTERVAL_S = 0.25
+# Use counts expire after some half-lives of 10 s.
+EXPIRE_INTERVAL_S = 10.0
+# Changes of one engine within this time are announced in one message. The time grows
+# with the number of VMs, since each change is a message to each of them.
+HOLDINGS_BATCH_S = 0.01
+HOLDINGS_BATCH_PER_VM_S = 0.0005
+# How long a leaving VM waits for its claims and releases: three store calls.
+CHANGES_TIMEOUT_S = 3.0
 
 
 class EngineManager:
-    """Claims engines, orders those that are owned, and tells what they hold."""
+    """Claims engines, starts their owners here, and announces what they hold."""
 
     def __init__(
         self,
@@ -81,22 +81,22 @@
         self._configuration: Configuration | None = None
         self._owners: dict[str, EngineOwner] = {}
         self._orphaned_at: dict[str, float] = {}
-        # Times of first fetches and of those that an engine held lately.
+        # Times of first fetches (False) and of repeated ones (True).
         self._arrivals = {False: ArrivalTimes(), True: ArrivalTimes()}
-        self._words = LoadAnnouncements(
+        self._load_announcements = LoadAnnouncements(
             memberships=memberships,
             loads=loads,
             mesh=mesh,
             timers=timers,
-            on_word=self._note_uses,
+            on_update=self._record_uses,
             owned=lambda: self.owned,
             quotas=quotas,
         )
-        self._holding_words = HoldingAnnouncements(
+        self._holding_announcements = HoldingAnnouncements(
             mesh=mesh,
             timers=timers,
-            own=self._all_holdings,
-            on_told=targets.apply_holdings,
+            own_holdings=self._all_holdings,
+            on_holdings=targets.apply_holdings,
         )
         self._releases = EngineReleases(
             memberships=memberships,
@@ -111,8 +111,10 @@
         self._stopped = False
         self._subscriptions = []
         targets.subscribe_restarts(self._on_restarted)
-        targets.subscribe(lambda lost, _: self._holding_words.discard(lost.target))
-        mesh.on_fed = self._holding_words.announce_all
+        targets.subscribe(
+            lambda lost, _: self._holding_announcements.discard(lost.target)
+        )
+        mesh.on_fed = self._holding_announcements.announce_all
         mesh.on(LoadAdapter, self._on_load)
         mesh.on(ReservePrompt, self._on_reserve)
         mesh.on(AdapterMissing, self._on_missing)
@@ -120,24 +122,24 @@
 
     @property
     def owned(self) -> tuple[str, ...]:
-        """The engines that this VM looks after."""
+        """The engines that this VM manages."""
         return tuple(self._owners)
 
     def start(self) -> None:
-        """Begin to claim engines and to tell the other VMs."""
+        """Start to claim engines and to announce to the other VMs."""
         self._subscriptions = [
-            self._timers.every(CLAIM_EVERY_S, self._look, name="claims"),
-            self._timers.every(FORGET_EVERY_S, self._forget_uses, name="old uses"),
+            self._timers.every(CLAIM_INTERVAL_S, self._check_engines, name="claims"),
+            self._timers.every(EXPIRE_INTERVAL_S, self._expire_uses, name="old uses"),
         ]
-        self._words.start()
-        self._holding_words.start()
+        self._load_announcements.start()
+        self._holding_announcements.start()
 
     async def stop(self, until: float) -> None:
-        """Give all engines back and order them no more, about ``until`` at the latest.
+        """Release all engines and give no further orders, by about ``until``.
 
-        The other VMs are still told of this VM's requests, until ``close``. Untold, an
-        adapter that they use for seconds yet would seem unused, and once it was ordered
-        out, the engine took no other order until they had ended.
+        This VM's requests are still announced until ``close``. Without that, an adapter
+        that they use for seconds more would seem unused. Once it was ordered to unload,
+        the engine would take no other order until these requests had ended.
         """
         await self._releases.await_store(until)
         self._stopped = True
@@ -145,31 +147,31 @@
             subscription.cancel()
         owned, self._owners = tuple(self._owners.values()), {}
         await self._releases.release_all(owned)
-        # A claim that is cut off may have reached the store; the engine then waited
-        # for this VM's lease to run out.
-        await self._changes.settle(CHANGES_S)
+        # A cancelled claim may have reached the store. Other VMs could then claim the
+        # engine only after this VM's lease expires.
+        await self._changes.settle(CHANGES_TIMEOUT_S)
         self._changes.cancel()
         self._tasks.cancel()
 
     def close(self) -> None:
-        """Tell the other VMs nothing more."""
-        self._words.stop()
-        self._holding_words.stop()
+        """Stop announcing to the other VMs."""
+        self._load_announcements.stop()
+        self._holding_announcements.stop()
 
     def running(self, target: str) -> dict[AdapterKey, int]:
         """Return how many requests use each adapter of an engine, over all VMs."""
         return self._loads.adapters_running(target)
 
     def announce_interval_s(self) -> float:
-        """Return how often each VM tells of its requests, in seconds."""
-        return self._words.max_report_age_s
+        """Return how often each VM announces its requests, in seconds."""
+        return self._load_announcements.max_report_age_s
 
     def apply_configuration(self, configuration: Configuration) -> None:
-        """Take a newer configuration."""
+        """Apply a newer configuration."""
         self._configuration = configuration
 
     def announce_all(self, vm: str) -> None:
-        """Tell a VM that has just been connected about all owned engines."""
+        """Send a newly connected VM the holdings of all owned engines."""
         for holdings in self._all_holdings():
             self._mesh.cast(vm, holdings)
 
@@ -179,13 +181,13 @@
 
     # Claims
 
-    async def _look(self) -> None:
-        """Claim engines that have no owner, and let go of those that are gone."""
+    async def _check_engines(self) -> None:
+        """Claim engines that have no owner, and release those that are gone."""
         if self._configuration is None:
             return
-        self._let_go()
+        self._release_lost()
         if not self._owners and not self._orphaned_at:
-            self._ownerships.note_idle()
+            self._ownerships.on_idle()
         heard = self._memberships.heard()
         for entry in tuple(self._targets.entries.values()):
             spec = self._spec(entry)
@@ -194,10 +196,10 @@
             owner = self._owners.get(entry.target)
             if owner is not None:
                 if owner.incarnation == entry.incarnation:
-                    owner.take_entry(entry)
+                    owner.apply_entry(entry)
                 else:
-                    # It went and came back between two looks, as another start.
-                    self._replace(owner, entry, spec)
+                    # It left and returned between two checks, as another incarnation.
+                    self._replace_owner(owner, entry, spec)
                 continue
             if self._targets.owner(entry.target) in heard:
                 self._orphaned_at.pop(entry.target, None)
@@ -210,12 +212,12 @@
                     lambda entry=entry, spec=spec: self._claim(entry, spec),
                 )
 
-    def _forget_uses(self) -> None:
+    def _expire_uses(self) -> None:
         now = self._timers.now()
         for owner in self._owners.values():
-            owner.slots.forget_old_uses(now)
+            owner.slots.expire_uses(now)
 
-    def _let_go(self) -> None:
+    def _release_lost(self) -> None:
         for target, owner in tuple(self._owners.items()):
             if target not in self._targets.entries:
                 owner.stop()
@@ -223,7 +225,7 @@
                 self._changes.spawn(self._ownerships.release(target))
                 continue
             if self._ownerships.current(target) is None:
-                # The lease ran out. Another VM may own the engine by now.
+                # The lease expired. Another VM may own the engine by now.
                 self._events.emit(EventKind.OWNERSHIP_LOST, target)
                 owner.stop()
                 del self._owners[target]
@@ -233,35 +235,35 @@
         if not claimed or self._stopped:
             return
         ownership = self._ownerships.current(entry.target)
-        unanswered_until = self._timers.now() + LATE_ORDER_S
+        unanswered_until = self._timers.now() + MAX_ORDER_DELAY_S
         if ownership is not None and ownership.first:
             # Nobody has ever ordered this engine.
             unanswered_until = 0.0
         newest = self._targets.entries.get(entry.target, entry)
-        self._own(newest, spec, unanswered_until)
+        self._start_owner(newest, spec, unanswered_until)
 
     def _on_restarted(self, former: TargetEntry, entry: TargetEntry) -> None:
         owner = self._owners.get(entry.target)
         spec = self._spec(entry) if owner is not None else None
         if spec is not None:
-            self._replace(owner, entry, spec)
+            self._replace_owner(owner, entry, spec)
 
-    def _replace(
+    def _replace_owner(
         self, former: EngineOwner, entry: TargetEntry, spec: EngineSpec
     ) -> None:
-        """Order another start of an engine, under the same ownership and fence.
+        """Order another incarnation of an engine, under the same ownership and fence.
 
-        Orders of the former start that got no answer may reach the new one.
+        Unanswered orders to the former incarnation may reach the new one.
         """
         former.stop()
-        self._own(entry, spec, former.unanswered_until)
+        self._start_owner(entry, spec, former.unanswered_until)
 
-    def _own(
+    def _start_owner(
         self, entry: TargetEntry, spec: EngineSpec, unanswered_until: float
     ) -> None:
-        """Begin to order one incarnation of an engine."""
+        """Start to order one incarnation of an engine."""
         target = entry.target
-        late = UnacknowledgedOrders(
+        unacknowledged = UnacknowledgedOrders(
             timers=self._timers,
             since=self._targets.known_since(target),
             unanswered_until=unanswered_until,
@@ -277,15 +279,17 @@
             arrivals=self._arrivals,
             events=self._events,
             metrics=self._metrics,
-            late=late,
+            unacknowledged=unacknowledged,
             on_changed=self._publish,
-            on_restarted=lambda started_ms: self._heard_restart(target, started_ms),
+            on_restarted=lambda started_ms: self._on_reported_restart(
+                target, started_ms
+            ),
         )
         self._owners[target] = owner
         owner.start()
 
-    def _heard_restart(self, target: str, started_ms: int | None) -> None:
-        """Take what a report of an engine showed; ``_on_restarted`` follows."""
+    def _on_reported_restart(self, target: str, started_ms: int | None) -> None:
+        """Record a restart seen in an engine's report; calls ``_on_restarted``."""
         if started_ms is None:
             self._targets.on_order_count_reset(target)
             return
@@ -297,40 +301,40 @@
         service = self._configuration.service(entry.service)
         return service.engine if service else None
 
-    # What is told
+    # Announcements
 
     def _publish(self, owner: EngineOwner) -> None:
-        """Tell all VMs, this one too, what an engine holds."""
+        """Announce to all VMs, including this one, what an engine holds."""
         self._targets.apply_holdings(self._memberships.vm, owner.holdings)
-        self._tasks.spawn_once(f"tell {owner.target}", lambda: self._tell(owner))
+        self._tasks.spawn_once(f"tell {owner.target}", lambda: self._announce(owner))
 
-    async def _tell(self, owner: EngineOwner) -> None:
-        gather_s = GATHER_S
+    async def _announce(self, owner: EngineOwner) -> None:
+        batch_s = HOLDINGS_BATCH_S
         if not self._mesh.large:
-            gather_s += GATHER_EACH_S * len(self._memberships.live())
-        await self._timers.sleep(gather_s)
+            batch_s += HOLDINGS_BATCH_PER_VM_S * len(self._memberships.live())
+        await self._timers.sleep(batch_s)
         if self._owners.get(owner.target) is owner:
-            self._holding_words.announce(owner.holdings)
+            self._holding_announcements.announce(owner.holdings)
 
-    def _note_uses(self, word: VmLoads) -> None:
-        """Count the starts that a VM tells of for the engines owned here."""
+    def _record_uses(self, update: VmLoads) -> None:
+        """Count the started requests that a VM announces for engines owned here."""
         now = self._timers.now()
-        for load in word.loads:
+        for load in update.loads:
             owner = self._owner_of(load.target, load.started_ms)
             for use in load.uses if owner is not None else ():
                 if use.started or use.running:
                     key = AdapterKey(use.model, use.adapter)
-                    owner.slots.note_use(key, use.started, now)
+                    owner.slots.record_use(key, use.started, now)
 
-    # What is asked
+    # Requests of other VMs
 
     def _owner_of(self, target: str, started_ms: int | None) -> EngineOwner | None:
-        """Return who orders an engine here, if it does so at the start of a message.
+        """Return the owner of an engine, if it orders the message's incarnation.
 
-        A message of a later start than the known one tells of a restart.
+        A message about a later incarnation than the known one reveals a restart.
         """
-        told = Incarnation(target, started_ms)
-        if not self._targets.observe_incarnation(told, RestartSeen.WORD):
+        incarnation = Incarnation(target, started_ms)
+        if not self._targets.observe_incarnation(incarnation, RestartSeen.WORD):
             return None
         return self._owners.get(target)
 
@@ -341,10 +345,10 @@
             return failed(Failure(ErrorKind.NO_GRANT, detail, 0.2))
         key = AdapterKey(message.model, message.adapter)
         now = self._timers.now()
-        wanted = SlotRequest(
+        request = SlotRequest(
             key, message.rank, now + message.due_s, now + message.slot_wait_s
         )
-        loaded: Result = await owner.load(wanted, message.version, message.wait_s)
+        loaded: Result = await owner.load(request, message.version, message.wait_s)
         if loaded.is_err():
             self._events.emit(
                 EventKind.LOAD_TURNED_DOWN,
@@ -359,10 +363,10 @@
     async def _on_reserve(self, sender, message: ReservePrompt):
         owner = self._owner_of(message.target, message.started_ms)
         if owner is None:
-            # An engine that isn't ordered here holds nobody up. One that is has
-            # started again since, without the adapter.
-            elsewhere = message.target not in self._owners
-            return PromptReserved(0.0, elsewhere, elsewhere)
+            # An engine that isn't owned here delays no prompt. An engine that is
+            # owned here has restarted since, without the adapter.
+            not_owned = message.target not in self._owners
+            return PromptReserved(0.0, not_owned, not_owned)
         key = AdapterKey(message.model, message.adapter)
         return owner.reserve(key, sender.vm, message)
 
@@ -377,4 +381,4 @@
     async def _on_missing(self, sender, message: AdapterMissing) -> None:
         owner = self._owner_of(message.target, message.started_ms)
         if owner is not None:
-            owner.missing(AdapterKey(message.model, message.adapter))
+            owner.on_adapter_missing(AdapterKey(message.model, message.adapter))
--- a/hawthornlead/gateway/engine_orders.py
+++ b/hawthornlead/gateway/engine_orders.py
@@ -19,10 +19,10 @@
 # Unanswered orders in a row after which a report is read. Where every answer comes too
 # late, the first one was carried out and all others are refused, however often an owner
 # that goes on with its count gives them.
-MOST_UNANSWERED = 3
+MAX_UNANSWERED = 3
 # A load that was started so lately may be under way yet. Some take seconds, as many
 # adapters are fetched at once.
-LOAD_UNDER_WAY_S = 10.0
+LOAD_IN_PROGRESS_S = 10.0
 
 
 class EngineOrders:
@@ -37,7 +37,7 @@
         holder: str,
         events: EventRing,
         metrics: GatewayMetrics,
-        late: UnacknowledgedOrders,
+        unacknowledged: UnacknowledgedOrders,
     ):
         self._ownerships = ownerships
         self._calls = calls
@@ -45,10 +45,10 @@
         self._holder = holder
         self._events = events
         self._metrics = metrics
-        self._late = late
+        self._unacknowledged = unacknowledged
         self._accepted: int | None = None
-        self._surely_accepted = 0
-        self._given_at = 0.0
+        self._confirmed_accepted = 0
+        self._last_sent_at = 0.0
         self._unanswered = 0
         self._load_started_at: dict[AdapterKey, float] = {}
 
@@ -58,21 +58,21 @@
         return self._accepted
 
     @property
-    def surely_accepted(self) -> int:
+    def confirmed_accepted(self) -> int:
         """How many orders the engine's answers show to be accepted, at least."""
-        return self._surely_accepted
+        return self._confirmed_accepted
 
     @property
-    def given_at(self) -> float:
+    def last_sent_at(self) -> float:
         """When the last order was sent, in seconds of the ``TimerService``."""
-        return self._given_at
+        return self._last_sent_at
 
-    def take_accepted(self, accepted: int | None) -> None:
+    def set_accepted(self, accepted: int | None) -> None:
         """Take the count that a report tells; None asks for one."""
         self._accepted = accepted
         if accepted is not None:
             # A report that was heeded counts more than what answers seemed to show.
-            self._surely_accepted = min(self._surely_accepted, accepted)
+            self._confirmed_accepted = min(self._confirmed_accepted, accepted)
 
     async def give(
         self, entry: TargetEntry, kind: OrderKind, key: AdapterKey, version: int
@@ -91,9 +91,9 @@
             self._holder,
             ownership.fence,
         )
-        self._given_at = self._timers.now()
-        self._late.sent()
-        self._ownerships.note_order(entry.target)
+        self._last_sent_at = self._timers.now()
+        self._unacknowledged.on_sent()
+        self._ownerships.record_order(entry.target)
         outcome = await self._calls.order(
             entry.address,
             entry.target,
@@ -101,8 +101,8 @@
             allowed=lambda: self._ownerships.current(entry.target) == ownership,
         )
         if outcome is not OrderOutcome.UNKNOWN:
-            self._late.answered()
-        took_s = self._timers.now() - self._given_at
+            self._unacknowledged.on_answered()
+        took_s = self._timers.now() - self._last_sent_at
         self._events.emit(
             EventKind.ORDER_GIVEN,
             entry.target,
@@ -116,26 +116,26 @@
         )
         self._metrics.orders.labels(kind.value, outcome.value).inc()
         self._metrics.order_time.observe(took_s)
-        self._take_outcome(order, outcome)
+        self._apply_outcome(order, outcome)
         return outcome
 
-    def _take_outcome(self, order: EngineOrder, outcome: OrderOutcome) -> None:
+    def _apply_outcome(self, order: EngineOrder, outcome: OrderOutcome) -> None:
         if outcome is OrderOutcome.UNKNOWN:
             # Carried out or not, or later: the next order names the same count. The
             # engine takes only one of the two and refuses the other, so that there is
             # no need to wait for a report that shows which.
             self._unanswered += 1
-            if self._unanswered >= MOST_UNANSWERED:
+            if self._unanswered >= MAX_UNANSWERED:
                 self._accepted = None
                 self._unanswered = 0
             return
         self._unanswered = 0
         loads_already = self._loads_already(order)
-        if loads_already or not accepted_for_sure(order, outcome):
+        if loads_already or not confirms_acceptance(order, outcome):
             # Only a report tells how many orders the engine has accepted.
             self._accepted = None
             return
-        self._surely_accepted = order.order_count + 1
+        self._confirmed_accepted = order.order_count + 1
         if self._accepted is not None:
             # None when the count was found to be off while the order was under way.
             self._accepted = order.order_count + 1
@@ -151,14 +151,14 @@
             return False
         now = self._timers.now()
         for other, started_at in tuple(self._load_started_at.items()):
-            if now - started_at >= LOAD_UNDER_WAY_S:
+            if now - started_at >= LOAD_IN_PROGRESS_S:
                 del self._load_started_at[other]
         loads_already = key in self._load_started_at
         self._load_started_at[key] = now
         return loads_already
 
 
-def accepted_for_sure(order: EngineOrder, outcome: OrderOutcome) -> bool:
+def confirms_acceptance(order: EngineOrder, outcome: OrderOutcome) -> bool:
     """Whether an outcome shows that the engine has counted the order.
 
     A model that starts to load and an adapter that leaves later change more than the
--- a/hawthornlead/gateway/engine_owners.py
+++ b/hawthornlead/gateway/engine_owners.py
@@ -80,14 +80,14 @@
         arrivals: dict[bool, ArrivalTimes],
         events: EventRing,
         metrics: GatewayMetrics,
-        late: UnacknowledgedOrders,
+        unacknowledged: UnacknowledgedOrders,
         on_changed: Callable[["EngineOwner"], None],
         on_restarted: Callable[[int | None], None],
     ):
         self._entry = entry
         self._spec = spec
         self._ownerships = ownerships
-        self._late = late
+        self._unacknowledged = unacknowledged
         self._timers = timers
         self._events = events
         self._on_changed = on_changed
@@ -96,10 +96,10 @@
             target=entry.target,
             slots=self._slots,
             in_use=in_use,
-            late=late,
+            unacknowledged=unacknowledged,
             timers=timers,
         )
-        self._pace = PromptPacer()
+        self._pacer = PromptPacer()
         self._orders = EngineOrders(
             ownerships=ownerships,
             calls=calls,
@@ -107,30 +107,30 @@
             holder=holder,
             events=events,
             metrics=metrics,
-            late=late,
+            unacknowledged=unacknowledged,
         )
         self._reports = EngineReports(
             entry.incarnation,
             calls=calls,
             orders=self._orders,
-            late=late,
+            unacknowledged=unacknowledged,
             timers=timers,
             events=events,
             on_restarted=on_restarted,
         )
-        self._fetches = FetchTracker(
+        self._fetch_tracker = FetchTracker(
             slots=self._slots,
             arrivals=arrivals,
             timers=timers,
             read_report=self._read_report,
-            on_ready=self._note_ready,
-            on_missing=self._note_not_ready,
+            on_ready=self._on_ready,
+            on_missing=self._on_not_ready,
         )
         self._number = 0
         self._finished = False
         self._lock = asyncio.Lock()
         self._tasks = TaskSet()
-        self._slot_waits = SlotWaits(self._slots, timers, self._can_take_slot)
+        self._slot_waits = SlotWaits(self._slots, timers, self._can_acquire_slot)
         self._requests = AdapterRequests(
             slots=self._slots,
             checks=self._checks,
@@ -153,7 +153,7 @@
     @property
     def unanswered_until(self) -> float:
         """Until when an order without an answer may reach the engine."""
-        return self._late.unanswered_until
+        return self._unacknowledged.unanswered_until
 
     @property
     def slots(self) -> EngineSlots:
@@ -175,14 +175,14 @@
             self._number,
             self._slots.models,
             HeldAdapters.of(self._slots.held),
-            self._pace.expected_wait(self._timers.now()),
+            self._pacer.expected_wait(self._timers.now()),
             self.incarnation.started_ms,
             remembered_adapters(self._spec.adapter_slots),
         )
 
     def start(self) -> None:
         """Begin to look after the engine."""
-        self._tasks.spawn(self._look_after())
+        self._tasks.spawn(self._maintain())
 
     def stop(self) -> None:
         """Give no further order; who waits for a load is told so at once."""
@@ -193,13 +193,13 @@
         """Give no further order, and wait until none can be on its way any more."""
         self._finished = True
         self._requests.stop()
-        await self._late.settled(ORDER_TIMEOUT_S)
+        await self._unacknowledged.wait_answered(ORDER_TIMEOUT_S)
         self.stop()
-        on_its_way_s = self._late.on_its_way_s
+        on_its_way_s = self._unacknowledged.in_flight_s
         if on_its_way_s > 0:
             await self._timers.sleep(on_its_way_s)
 
-    def take_entry(self, entry: TargetEntry) -> None:
+    def apply_entry(self, entry: TargetEntry) -> None:
         """Take a newer entry of the same engine."""
         self._entry = entry
 
@@ -213,18 +213,18 @@
         if not held and self.known:
             return PromptReserved(0.0, False, False)
         now = self._timers.now()
-        expected_s = self._pace.expected_wait(now, wanted.tokens, wanted.gap_ms)
+        expected_s = self._pacer.expected_wait(now, wanted.tokens, wanted.gap_ms)
         if expected_s > wanted.most_s:
             return PromptReserved(expected_s, True, False)
-        wait_s = self._pace.reserve(wanted.tokens, wanted.gap_ms, now)
+        wait_s = self._pacer.reserve(wanted.tokens, wanted.gap_ms, now)
         if key.adapter:
-            self._slots.note_turn(key, vm, now + wait_s)
+            self._slots.record_turn(key, vm, now + wait_s)
         return PromptReserved(wait_s, True, True)
 
     def end_turn(self, key: AdapterKey, vm: str) -> None:
         """Note that a VM's request that had its turn has ended."""
         self._slots.end_turn(key, vm)
-        self._slot_waits.note_freed()
+        self._slot_waits.on_freed()
 
     async def load(
         self, wanted: SlotRequest, version: int, wait_s: float
@@ -232,12 +232,12 @@
         """Make an adapter ready and return its version; see ``AdapterRequests``."""
         return await self._requests.load(wanted, version, wait_s)
 
-    def _can_take_slot(self, key: AdapterKey) -> bool:
+    def _can_acquire_slot(self, key: AdapterKey) -> bool:
         """Whether an adapter has a slot, or one is free or can be freed now."""
         if self._orders.accepted is None:
             # What is held shows when the order is given.
             return True
-        return self._checks.has_room(key) or self._checks.victim() is not None
+        return self._checks.has_capacity(key) or self._checks.victim() is not None
 
     # Orders
 
@@ -248,15 +248,15 @@
                     return Err(Failure(ErrorKind.NO_GRANT, "given back", 0.1))
                 if self._orders.accepted is None and not await self._resync():
                     return Err(Failure(ErrorKind.TARGET_LOST, "no report", 0.5))
-                if not self._checks.makes_sense(key, version):
+                if not self._checks.is_needed(key, version):
                     return Ok(None)
-                if not self._requests.waits(key):
+                if not self._requests.is_waiting(key):
                     # A load for nobody would only take a slot from one in use.
                     return Err(Failure(ErrorKind.LOAD_FAILED, "nobody waits", 0.3))
                 refusal = self._checks.refusal(self._entry, key, version)
                 if refusal is not None:
                     return Err(refusal)
-                if not self._checks.has_room(key):
+                if not self._checks.has_capacity(key):
                     if not await self._evict_one():
                         detail = "no slot to spare"
                         return Err(Failure(ErrorKind.NO_SLOT, detail, NO_SLOT_RETRY_S))
@@ -274,14 +274,14 @@
         outcome = await self._orders.give(self._entry, OrderKind.UNLOAD, victim, 0)
         if outcome is OrderOutcome.HOLDS_ALREADY:
             self._slots.remove(victim)
-            self._tell()
+            self._announce()
             return True
         if outcome is OrderOutcome.STARTED:
             # Someone runs on it after all. It leaves when its runs end, up to 20 s
             # later, and the engine refuses all orders until then.
             now = self._timers.now()
             self._slots.set(victim, version, SlotState.LEAVING, now)
-            self._tell()
+            self._announce()
             return True
         return outcome in (OrderOutcome.CONFLICT, OrderOutcome.UNKNOWN)
 
@@ -291,10 +291,10 @@
         if outcome is not OrderOutcome.STARTED:
             return outcome
         if key.adapter:
-            self._slot_waits.note_taken()
+            self._slot_waits.record_taken()
             self._slots.set(key, version, SlotState.ARRIVING, self._timers.now())
-            self._tasks.spawn(self._fetches.follow(key, self._slots.slots[key]))
-        self._tell()
+            self._tasks.spawn(self._fetch_tracker.track(key, self._slots.slots[key]))
+        self._announce()
         return outcome
 
     # Reports
@@ -306,48 +306,48 @@
         """Read the engine's report once it can show the last order."""
         read = await self._reports.read_settled(self._entry.address)
         if read.is_ok():
-            self._take_report(read.ok_value)
+            self._apply_report(read.ok_value)
         return read.is_ok()
 
-    def _take_report(self, report: EngineReport) -> None:
-        self._orders.take_accepted(report.order_count)
-        self._slots.take_report(report, self._timers.now())
+    def _apply_report(self, report: EngineReport) -> None:
+        self._orders.set_accepted(report.order_count)
+        self._slots.apply_report(report, self._timers.now())
         for key, slot in self._slots.slots.items():
             if slot.state is SlotState.ARRIVING:
-                look = functools.partial(self._fetches.look_for, key, slot)
+                look = functools.partial(self._fetch_tracker.poll, key, slot)
                 self._tasks.spawn_once(f"{key}", look)
-        self._tell()
+        self._announce()
 
-    def missing(self, key: AdapterKey) -> None:
+    def on_adapter_missing(self, key: AdapterKey) -> None:
         """Note that the engine refused a request for want of an adapter."""
         slot = self._slots.slots.get(key)
         if slot is None or slot.state is not SlotState.READY:
             return
-        if self._fetches.note_missing(key, slot):
+        if self._fetch_tracker.on_refused(key, slot):
             # It was foreseen too early. To read the report under the lock would hold
             # up all orders to the engine for 0.1 s or more.
             self._slots.set(key, slot.version, SlotState.ARRIVING, slot.since)
-            look = functools.partial(self._look_again, key, self._slots.slots[key])
+            look = functools.partial(self._recheck, key, self._slots.slots[key])
             self._tasks.spawn_once(f"{key}", look)
-            self._tell()
+            self._announce()
             return
-        self._orders.take_accepted(None)
+        self._orders.set_accepted(None)
 
-    async def _look_again(self, key: AdapterKey, slot: Slot) -> None:
+    async def _recheck(self, key: AdapterKey, slot: Slot) -> None:
         """Look whether an adapter that seemed ready is still on its way, or gone."""
         await self._timers.sleep(REPORT_LAG_S)
         read = await self._read_report()
         if read.is_ok() and not shows_adapter(read.ok_value, key):
-            self._orders.take_accepted(None)
+            self._orders.set_accepted(None)
             return
-        await self._fetches.look_for(key, slot, learn=False)
+        await self._fetch_tracker.poll(key, slot, learn=False)
 
-    def _note_not_ready(self, key: AdapterKey) -> None:
+    def _on_not_ready(self, key: AdapterKey) -> None:
         self._events.emit(EventKind.ADAPTER_NOT_READY, self.target, adapter=key.adapter)
-        self._orders.take_accepted(None)
+        self._orders.set_accepted(None)
         self._slots.remove(key)
 
-    def _note_ready(self, key: AdapterKey, version: int, how: str) -> None:
+    def _on_ready(self, key: AdapterKey, version: int, how: str) -> None:
         now = self._timers.now()
         slot = self._slots.slots[key]
         self._events.emit(
@@ -359,21 +359,21 @@
             how=how,
         )
         self._slots.set(key, version, SlotState.READY, now)
-        self._tell()
+        self._announce()
 
-    async def _look_after(self) -> None:
+    async def _maintain(self) -> None:
         """Read the report until it is there, then keep the engine's model loaded."""
         while True:
             async with self._lock:
                 if self._orders.accepted is None:
                     await self._resync()
                 if self._orders.accepted is not None:
-                    await self._mend()
-            if await self._reports.show_late_order(self._entry.address):
-                self._orders.take_accepted(None)
+                    await self._repair()
+            if await self._reports.detect_late_order(self._entry.address):
+                self._orders.set_accepted(None)
             await self._timers.sleep(REPORT_RETRY_S)
 
-    async def _mend(self) -> None:
+    async def _repair(self) -> None:
         """See to leaving adapters, and to an engine that lost its model."""
         now = self._timers.now()
         if self._slots.leaving_s(now) > REPORT_LAG_S:
@@ -382,12 +382,12 @@
             return
         # An engine restarts empty. Without its model it serves nothing at all.
         key = AdapterKey(self._spec.models[0].name, "")
-        if now - self._orders.given_at > self._spec.models[0].load_s + REPORT_LAG_S:
+        if now - self._orders.last_sent_at > self._spec.models[0].load_s + REPORT_LAG_S:
             await self._load_one(key, 0)
             return
         await self._resync()
 
-    def _tell(self) -> None:
+    def _announce(self) -> None:
         self._number += 1
-        self._requests.note_changed()
+        self._requests.on_changed()
         self._on_changed(self)
--- a/hawthornlead/gateway/engine_releases.py
+++ b/hawthornlead/gateway/engine_releases.py
@@ -17,7 +17,7 @@
 from .target_tables import TargetTable
 
 # Between looks whether the store is back.
-STORE_LOOK_S = 0.2
+STORE_POLL_S = 0.2
 
 
 class EngineReleases:
@@ -52,11 +52,11 @@
         callers, so it does only while most others take them.
         """
         while self._ownerships.owned and self._memberships.mostly_serving:
-            if await self._ownerships.store_answers():
+            if await self._ownerships.is_store_available():
                 return
-            if self._timers.now() + STORE_LOOK_S > until:
+            if self._timers.now() + STORE_POLL_S > until:
                 return
-            await self._timers.sleep(STORE_LOOK_S)
+            await self._timers.sleep(STORE_POLL_S)
 
     async def release_all(self, owners: tuple[EngineOwner, ...]) -> None:
         """Order engines no more, and let others claim them."""
@@ -75,4 +75,4 @@
 
     async def _on_released(self, sender, message: TargetReleased) -> None:
         self._targets.on_released(sender.vm, message.target, message.fence)
-        self._ownerships.note_released(message.target)
+        self._ownerships.on_released(message.target)
--- a/hawthornlead/gateway/engine_reports.py
+++ b/hawthornlead/gateway/engine_reports.py
@@ -18,13 +18,13 @@
 from .engine_calls import EngineCalls
 from .engine_orders import EngineOrders
 from .records import EngineReport, Incarnation
-from .unacknowledged_orders import LOOK_S, UnacknowledgedOrders
+from .unacknowledged_orders import CHECK_INTERVAL_S, UnacknowledgedOrders
 
 # A report this long after an order shows it: reports lag some hundred milliseconds.
 REPORT_LAG_S = 0.25
 # A report that doesn't show an order this long after the engine took it is of an engine
 # that started again; one that doesn't show it sooner may only be late.
-SURELY_SHOWN_S = 1.0
+MAX_REPORT_DELAY_S = 1.0
 
 
 class EngineReports:
@@ -40,7 +40,7 @@
         *,
         calls: EngineCalls,
         orders: EngineOrders,
-        late: UnacknowledgedOrders,
+        unacknowledged: UnacknowledgedOrders,
         timers: TimerService,
         events: EventRing,
         on_restarted: Callable[[int | None], None],
@@ -48,11 +48,11 @@
         self._incarnation = incarnation
         self._calls = calls
         self._orders = orders
-        self._late = late
+        self._unacknowledged = unacknowledged
         self._timers = timers
         self._events = events
         self._on_restarted = on_restarted
-        self._looked_at = 0.0
+        self._checked_at = 0.0
 
     async def read(self, address: str) -> Result[EngineReport, Failure]:
         """Read a report, perhaps one of before the last order."""
@@ -71,7 +71,7 @@
 
     async def read_settled(self, address: str) -> Result[EngineReport, Failure]:
         """Read a report once it can show the last order."""
-        early_s = self._orders.given_at + REPORT_LAG_S - self._timers.now()
+        early_s = self._orders.last_sent_at + REPORT_LAG_S - self._timers.now()
         if early_s > 0:
             await self._timers.sleep(early_s)
         read = await self.read(address)
@@ -84,16 +84,19 @@
             )
         return read
 
-    async def show_late_order(self, address: str) -> bool:
+    async def detect_late_order(self, address: str) -> bool:
         """Look now and then whether the engine took an order that wasn't given here.
 
         A late load of an older version, or a late unload, is refused by nobody: it
         would be found only when a request ran with the wrong version.
         """
         now = self._timers.now()
-        if not self._late.expected or now - self._looked_at < LOOK_S:
+        if (
+            not self._unacknowledged.may_arrive
+            or now - self._checked_at < CHECK_INTERVAL_S
+        ):
             return False
-        self._looked_at = now
+        self._checked_at = now
         read = await self.read(address)
         accepted = self._orders.accepted
         # Reports lag, so that the engine's count is never above this owner's own.
@@ -115,9 +118,9 @@
         accepted as many orders as the former one; what it holds is then taken from
         its report all the same.
         """
-        if report.order_count >= self._orders.surely_accepted:
+        if report.order_count >= self._orders.confirmed_accepted:
             return Ok(report)
-        if self._timers.now() - self._orders.given_at < SURELY_SHOWN_S:
+        if self._timers.now() - self._orders.last_sent_at < MAX_REPORT_DELAY_S:
             return _unusable("the report is older than the last order")
         if report.started_ms is None:
             self._on_restarted(None)
--- a/hawthornlead/gateway/engine_slots.py
+++ b/hawthornlead/gateway/engine_slots.py
@@ -15,12 +15,12 @@
 # Before a request is sent the owner is asked for its turn, and told when the request
 # has ended. Where that word is lost, the turn counts for so long, beside the time in
 # which each VM tells of its requests; after that their word alone counts.
-JUST_USED_S = 0.15
+UNREPORTED_TURN_S = 0.15
 # Turns whose end was never told are dropped after this, also of adapters that left: the
 # longest runs take 20 s.
-TURNS_KEPT_S = 30.0
+TURN_RETENTION_S = 30.0
 # Who waited for an adapter asks for its turn within some milliseconds of its arrival.
-TURN_ASKED_WITHIN_S = 0.1
+TURN_REQUEST_GRACE_S = 0.1
 # The half-life of an adapter's count of requests, by which adapters are evicted. Demand
 # moves within seconds; with a longer memory the adapters of before keep their slots.
 USE_HALF_LIFE_S = 10.0
@@ -88,7 +88,7 @@
         return tuple(self._models)
 
     @property
-    def most(self) -> int:
+    def capacity(self) -> int:
         """How many adapters the engine has slots for."""
         return self._spec.adapter_slots
 
@@ -121,7 +121,7 @@
             return False
         return not version or slot.version >= version
 
-    def has_room(self, key: AdapterKey, spare: int = 0) -> bool:
+    def has_capacity(self, key: AdapterKey, spare: int = 0) -> bool:
         """Whether one more adapter fits, by slots and by memory.
 
         ``spare`` slots stay free beside it, as long as one slot can be used at all.
@@ -134,7 +134,7 @@
             return False
         return self._free_mb() >= (1 + spare) * model.adapter_mb
 
-    def note_use(self, key: AdapterKey, count: int, now: float) -> None:
+    def record_use(self, key: AdapterKey, count: int, now: float) -> None:
         """Count requests for an adapter that began."""
         use = self._uses.get(key)
         if use is None:
@@ -142,7 +142,7 @@
         use.score = self._score(use, now) + count
         use.at = now
 
-    def note_turn(self, key: AdapterKey, vm: str, at: float) -> None:
+    def record_turn(self, key: AdapterKey, vm: str, at: float) -> None:
         """Note that a VM sends a request for an adapter at ``at``."""
         self._turns.setdefault(key, {}).setdefault(vm, []).append(at)
 
@@ -158,7 +158,7 @@
         if not turns:
             del self._turns[key]
 
-    def note_running(self, running: dict[AdapterKey, int]) -> None:
+    def apply_running(self, running: dict[AdapterKey, int]) -> None:
         """Take how many requests run for each adapter, over all VMs."""
         self._running = running
 
@@ -189,9 +189,9 @@
         for key, slot in self._slots.items():
             if slot.state is not SlotState.READY or self.running(key):
                 continue
-            if now - slot.since < TURN_ASKED_WITHIN_S:
+            if now - slot.since < TURN_REQUEST_GRACE_S:
                 continue
-            if self._has_turns(key, now - JUST_USED_S - announce_interval_s):
+            if self._has_turns(key, now - UNREPORTED_TURN_S - announce_interval_s):
                 continue
             use = self._uses.get(key)
             score = 0.0 if use is None else self._score(use, now)
@@ -207,7 +207,7 @@
         """Note that an adapter left its slot."""
         self._slots.pop(key, None)
 
-    def take_report(self, report: EngineReport, now: float) -> None:
+    def apply_report(self, report: EngineReport, now: float) -> None:
         """Take what the engine says of itself, in place of what was believed."""
         self._models = {model.name: model.version for model in report.models}
         slots: dict[AdapterKey, Slot] = {}
@@ -219,10 +219,10 @@
             slots[key] = self._reported(key, held.version, SlotState.ARRIVING, now)
         self._slots = slots
 
-    def forget_old_uses(self, now: float) -> None:
+    def expire_uses(self, now: float) -> None:
         """Drop what was counted of adapters that nobody asked for lately."""
         for key in tuple(self._turns):
-            self._has_turns(key, now - TURNS_KEPT_S)
+            self._has_turns(key, now - TURN_RETENTION_S)
         for key, use in tuple(self._uses.items()):
             if self._score(use, now) < 0.01 and key not in self._slots:
                 del self._uses[key]
--- a/hawthornlead/gateway/fetch_trackers.py
+++ b/hawthornlead/gateway/fetch_trackers.py
@@ -3,7 +3,7 @@
 Where it is known how long a fetch takes its end is foreseen, because reports lag; one
 fetch in some is also followed by reports, to learn how long they take::
 
-    tasks.spawn(follower.follow(key, slot))
+    tasks.spawn(follower.track(key, slot))
 """
 
 from collections.abc import Awaitable, Callable
@@ -19,14 +19,14 @@
 
 # An adapter takes 250 to 290 ms, or a tenth of it when the engine held it lately, and
 # a report lags 100 ms behind: the first look comes soon enough for the fast ones.
-FIRST_LOOK_S = 0.13
-LOOK_S = 0.06
+FIRST_POLL_S = 0.13
+POLL_INTERVAL_S = 0.06
 # One fetch in so many is also followed by reports, to learn how long fetches take.
-OBSERVE_EVERY = 8
+OBSERVE_INTERVAL = 8
 # A refusal this soon after an adapter was said to be ready means that it wasn't yet.
-JUST_READY_S = 0.3
+EARLY_READY_S = 0.3
 # An adapter still not there after this was refused or its fetch failed.
-LOAD_GIVEN_UP_S = 5.0
+LOAD_TIMEOUT_S = 5.0
 
 
 class FetchTracker:
@@ -53,26 +53,26 @@
         self._read_report = read_report
         self._on_ready = on_ready
         self._on_missing = on_missing
-        self._recent = RecentAdapters(remembered_adapters(slots.most))
+        self._recent = RecentAdapters(remembered_adapters(slots.capacity))
         self._fetches = 0
 
-    async def follow(self, key: AdapterKey, slot: Slot) -> None:
+    async def track(self, key: AdapterKey, slot: Slot) -> None:
         """Follow one fetch: foreseen where its time is known, else by reports."""
         times = self._arrivals[key in self._recent]
-        self._recent.note(key)
+        self._recent.add(key)
         self._fetches += 1
         expected_s = times.expected_s
         if expected_s is None:
-            await self._timers.sleep(FIRST_LOOK_S)
-            await self.look_for(key, slot, times)
+            await self._timers.sleep(FIRST_POLL_S)
+            await self.poll(key, slot, times)
             return
         await self._timers.sleep(expected_s)
         if self._slots.slots.get(key) is slot:
             self._on_ready(key, max(1, slot.version), "foreseen")
-        if self._fetches % OBSERVE_EVERY == 0:
-            await self.look_for(key, slot, times)
+        if self._fetches % OBSERVE_INTERVAL == 0:
+            await self.poll(key, slot, times)
 
-    async def look_for(
+    async def poll(
         self,
         key: AdapterKey,
         slot: Slot,
@@ -83,7 +83,7 @@
 
         Where ``learn`` is False it isn't known when the adapter was ordered.
         """
-        while self._timers.now() - slot.since < LOAD_GIVEN_UP_S:
+        while self._timers.now() - slot.since < LOAD_TIMEOUT_S:
             read = await self._read_report()
             shown = _arrived_version(read.ok_value, key) if read.is_ok() else None
             version = 0 if shown is None else max(1, shown)
@@ -96,15 +96,15 @@
                 return
             if key not in self._slots.slots:
                 return
-            await self._timers.sleep(LOOK_S)
+            await self._timers.sleep(POLL_INTERVAL_S)
         self._on_missing(key)
 
-    def note_missing(self, key: AdapterKey, slot: Slot) -> bool:
+    def on_refused(self, key: AdapterKey, slot: Slot) -> bool:
         """Note that the engine refused a request for the adapter of a ready slot.
 
         Return whether it was foreseen too early, and is still on its way.
         """
-        early = self._timers.now() - slot.since < JUST_READY_S
+        early = self._timers.now() - slot.since < EARLY_READY_S
         if early:
             self._arrivals[key in self._recent].record_too_early()
         return early
--- a/hawthornlead/gateway/holding_announcements.py
+++ b/hawthornlead/gateway/holding_announcements.py
@@ -1,9 +1,10 @@
-"""How owners tell all VMs what their engines hold: directly, or through heads.
+"""Announce to all VMs which adapters engines hold, directly or through heads.
 
-In a small fleet an owner tells all others at each change. An engine with few slots
-changes several times a second, and each change would be a message to every VM. So in a
-large fleet heads gather them, as they do with words on requests. A VM that hasn't heard
-of a change yet is put right by the owner, whom it asks before each load and each turn.
+In a small fleet an owner announces each change to all other VMs. An engine with few
+slots changes several times a second, and each change would be a message to every VM.
+In a large fleet heads therefore batch the changes, as they do for load announcements.
+A VM that has not received a change yet is corrected by the owner, which it asks before
+each load and each turn.
 """
 
 from collections.abc import Callable
@@ -13,21 +14,27 @@
 from ..tasks import TaskSet
 from ..timers import TimerService
 
-# How long changes wait at their VM and at each of two heads. Runs last 0.3 s and more,
-# so that most changes are known in time to choose by.
-GATHER_S = 0.15
-# What a head had gathered when it died is told by nobody; so all is told again.
-RETELL_S = 4.0
+# How long changes are batched at their VM and at each of two heads. Runs last 0.3 s and
+# more, so most changes are known in time for the next choice.
+GATHER_INTERVAL_S = 0.15
+# Changes that a head had gathered when it died are lost, so everything is announced
+# again.
+REANNOUNCE_INTERVAL_S = 4.0
 
 
 class HoldingAnnouncements:
-    """Tells of the engines that this VM owns, and takes the other owners' words.
-
-    ``own`` returns what is to be told again, ``on_told`` takes owner and word::
-
-        words = HoldingAnnouncements(mesh=mesh, timers=timers, own=room.holdings,
-                             on_told=targets.take)
-        words.announce(owner.holdings)
+    """Announces this VM's engines, and receives the announcements of other owners.
+
+    ``own_holdings`` returns what to reannounce. ``on_holdings`` is called with each
+    owner and its holdings::
+
+        announcements = HoldingAnnouncements(
+            mesh=mesh,
+            timers=timers,
+            own_holdings=manager.holdings,
+            on_holdings=targets.apply_holdings,
+        )
+        announcements.announce(owner.holdings)
     """
 
     def __init__(
@@ -35,93 +42,93 @@
         *,
         mesh: FleetMesh,
         timers: TimerService,
-        own: Callable[[], tuple[TargetHoldings, ...]],
-        on_told: Callable[[str, TargetHoldings], None],
+        own_holdings: Callable[[], tuple[TargetHoldings, ...]],
+        on_holdings: Callable[[str, TargetHoldings], None],
     ):
         self._mesh = mesh
         self._timers = timers
-        self._own = own
-        self._on_told = on_told
-        # What is to be passed on: to heads and to the VMs that are fed here, and what
-        # goes to these VMs only.
-        self._near_words: dict[str, VmHoldings] = {}
-        self._far_words: dict[str, VmHoldings] = {}
-        # The newest word on each target, for VMs that begin to be fed here.
+        self._own_holdings = own_holdings
+        self._on_holdings = on_holdings
+        # Changes to forward to the other heads and to this head's subscribers, and
+        # changes to forward to these subscribers only.
+        self._for_all: dict[str, VmHoldings] = {}
+        self._for_subscribers: dict[str, VmHoldings] = {}
+        # The newest holdings of each target, for new subscribers.
         self._newest: dict[str, VmHoldings] = {}
         self._tasks = TaskSet()
-        mesh.on(TargetHoldings, self._take_direct)
-        mesh.on(GatheredHoldings, self._take_gathered)
+        mesh.on(TargetHoldings, self._on_direct)
+        mesh.on(GatheredHoldings, self._on_gathered)
 
     def start(self) -> None:
-        """Begin to tell all again from time to time."""
-        self._tasks.spawn(self._tell_again())
+        """Start to reannounce all holdings periodically."""
+        self._tasks.spawn(self._reannounce_periodically())
 
     def stop(self) -> None:
-        """Pass nothing on any more."""
+        """Stop announcing and forwarding."""
         self._tasks.cancel()
 
     def announce(self, holdings: TargetHoldings) -> None:
-        """Tell all other VMs what an engine holds."""
+        """Announce to all other VMs what an engine holds."""
         if not self._mesh.large:
             self._mesh.broadcast(holdings)
             return
-        word = VmHoldings(self._mesh.vm, holdings)
-        self._near_words[holdings.target] = self._newest[holdings.target] = word
-        self._pass_soon()
+        update = VmHoldings(self._mesh.vm, holdings)
+        self._for_all[holdings.target] = self._newest[holdings.target] = update
+        self._forward_soon()
 
     def announce_all(self, vm: str) -> None:
-        """Tell one VM all that this one knows of engines."""
-        for holdings in self._own():
+        """Send one VM the newest holdings of all engines known here."""
+        for holdings in self._own_holdings():
             self._newest[holdings.target] = VmHoldings(self._mesh.vm, holdings)
         self._mesh.cast(vm, GatheredHoldings(tuple(self._newest.values())))
 
     def discard(self, target: str) -> None:
-        """Drop the word on a target that is gone."""
+        """Discard the holdings of a target that is gone."""
         self._newest.pop(target, None)
 
-    async def _tell_again(self) -> None:
+    async def _reannounce_periodically(self) -> None:
         while True:
-            await self._timers.sleep(RETELL_S)
+            await self._timers.sleep(REANNOUNCE_INTERVAL_S)
             if self._mesh.large:
-                for holdings in self._own():
+                for holdings in self._own_holdings():
                     self.announce(holdings)
 
-    def _pass_soon(self) -> None:
-        self._tasks.spawn_once("pass", self._pass_on)
+    def _forward_soon(self) -> None:
+        self._tasks.spawn_once("forward", self._forward_after_delay)
 
-    async def _pass_on(self) -> None:
-        await self._timers.sleep(GATHER_S)
+    async def _forward_after_delay(self) -> None:
+        await self._timers.sleep(GATHER_INTERVAL_S)
         while not self._mesh.is_head and not self._mesh.feed:
-            await self._timers.sleep(GATHER_S)
-        self._pass_words()
+            await self._timers.sleep(GATHER_INTERVAL_S)
+        self._forward()
 
-    def _pass_words(self) -> None:
-        near, self._near_words = self._near_words, {}
-        far, self._far_words = self._far_words, {}
-        gathered = GatheredHoldings(tuple(near.values()))
+    def _forward(self) -> None:
+        for_all, self._for_all = self._for_all, {}
+        for_subscribers, self._for_subscribers = self._for_subscribers, {}
+        gathered = GatheredHoldings(tuple(for_all.values()))
         if not self._mesh.is_head:
-            if near:
+            if for_all:
                 self._mesh.cast_to((self._mesh.feed,), gathered)
             return
-        if near:
+        if for_all:
             self._mesh.cast_to(self._mesh.other_heads, gathered)
-        both = GatheredHoldings((*far.values(), *near.values()))
+        both = GatheredHoldings((*for_subscribers.values(), *for_all.values()))
         self._mesh.cast_to(self._mesh.attachments.fed, both)
 
-    async def _take_direct(self, sender, message: TargetHoldings) -> None:
-        self._on_told(sender.vm, message)
+    async def _on_direct(self, sender, message: TargetHoldings) -> None:
+        self._on_holdings(sender.vm, message)
 
-    async def _take_gathered(self, sender, message: GatheredHoldings) -> None:
-        from_below = sender.vm in self._mesh.attachments.all
-        passes_on = self._mesh.is_head
-        for word in message.words:
-            if word.vm == self._mesh.vm:
+    async def _on_gathered(self, sender, message: GatheredHoldings) -> None:
+        from_subscriber = sender.vm in self._mesh.attachments.all
+        forwards = self._mesh.is_head
+        for update in message.words:
+            if update.vm == self._mesh.vm:
                 continue
-            self._on_told(word.vm, word.holdings)
-            if not passes_on:
+            self._on_holdings(update.vm, update.holdings)
+            if not forwards:
                 continue
-            words = self._near_words if from_below else self._far_words
-            target = word.holdings.target
-            words[target] = self._newest[target] = word
-        if passes_on:
-            self._pass_soon()
+            pending = self._for_all if from_subscriber else self._for_subscribers
+            target = update.holdings.target
+            pending[target] = self._newest[target] = update
+        if forwards:
+            self._forward_soon()
--- a/hawthornlead/gateway/load_announcements.py
+++ b/hawthornlead/gateway/load_announcements.py
@@ -1,11 +1,11 @@
-"""How VMs tell one another of themselves and of their requests.
-
-In a small fleet each VM tells all others. A message costs its receiver about as much
-whatever it holds, and each VM takes as many as there are others. So in a large fleet
-each VM tells its heads; a head gathers the words of the VMs that it feeds, exchanges
-them with the other heads, and tells those VMs which members came or went and how many
-requests each target has. Which adapters the requests use is told to those alone that
-order the target.
+"""Announce each VM's state and requests to the other VMs, directly or through heads.
+
+In a small fleet each VM sends its announcements to all others. A message costs its
+receiver about the same whatever it holds, and each VM receives one from every other VM.
+In a large fleet each VM therefore announces to its heads. A head gathers the updates of
+its subscribers, exchanges them with the other heads, and sends its subscribers the
+membership changes and the number of requests of each target. Which adapters the
+requests use is sent only to the VM that orders the target.
 """
 
 from collections.abc import Callable
@@ -27,24 +27,25 @@
 from .memberships import Memberships
 from .target_loads import TargetLoads
 
-TELL_S = 0.2
-# The more VMs, the seldomer each tells.
-TELL_EACH_S = 0.004
-# Between two words to a head, and between two messages that a head sends.
-GATHER_S = 0.4
-# A word waits at its VM, at the head there and at the head here.
-GATHERED_STEPS = 3
-# Members that come or go are passed on sooner, but not one by one.
-HURRY_S = 0.1
-# A head says of a VM that told it nothing for so long that it is silent.
-SILENT_S = 1.0
+ANNOUNCE_INTERVAL_S = 0.2
+# Added to the interval for each VM, so that larger fleets announce less often.
+ANNOUNCE_INTERVAL_PER_VM_S = 0.004
+# Between two updates to a head, and between two messages of a head.
+GATHER_INTERVAL_S = 0.4
+# An update waits up to one interval at its VM, at that VM's head and at the receiver's
+# head.
+GATHER_HOPS = 3
+# Membership changes are forwarded sooner than other updates, in batches of this time.
+FORWARD_DELAY_S = 0.1
+# A head reports a subscriber as silent if it received nothing from it for this time.
+SILENCE_TIMEOUT_S = 1.0
 
 
 class LoadAnnouncements:
-    """Tells the other VMs of this VM's requests, and takes their words.
+    """Announces this VM's requests, and receives the announcements of the other VMs.
 
-    ``on_word`` is called with each word, also with this VM's own; ``owned`` returns the
-    targets that this VM orders.
+    ``on_update`` is called with each update, also with this VM's own. ``owned`` returns
+    the targets that this VM orders.
     """
 
     def __init__(
@@ -54,7 +55,7 @@
         loads: TargetLoads,
         mesh: FleetMesh,
         timers: TimerService,
-        on_word: Callable[[VmLoads], None],
+        on_update: Callable[[VmLoads], None],
         owned: Callable[[], tuple[str, ...]],
         quotas: QuotaLedger,
     ):
@@ -63,128 +64,134 @@
         self._loads = loads
         self._mesh = mesh
         self._timers = timers
-        self._on_word = on_word
+        self._on_update = on_update
         self._owned = owned
-        # What a head has to pass on: words of the VMs that it feeds, and all words.
-        self._near_words: dict[str, MemberLoads] = {}
-        self._words: dict[str, MemberLoads] = {}
-        self._told_serial = 0
-        # Whether a workspace was over its limit when that was passed on last.
-        self._surge_told = False
-        self._passed_at = 0.0
+        # What a head has to forward: the updates of its subscribers, and all updates.
+        self._subscriber_loads: dict[str, MemberLoads] = {}
+        self._all_loads: dict[str, MemberLoads] = {}
+        self._announced_serial = 0
+        # Whether a workspace was over its limit at the last forwarding.
+        self._surge_announced = False
+        self._forwarded_at = 0.0
         self._tasks = TaskSet()
-        mesh.on(VmLoads, self._take_word)
-        mesh.on(GatheredLoads, self._take_gathered)
-        mesh.on(MemberUpdate, self._take_member)
-        mesh.on(GroupUpdate, self._take_group)
-        mesh.on(FleetUpdate, self._take_fleet)
+        mesh.on(VmLoads, self._on_loads)
+        mesh.on(GatheredLoads, self._on_gathered)
+        mesh.on(MemberUpdate, self._on_member_update)
+        mesh.on(GroupUpdate, self._on_group_update)
+        mesh.on(FleetUpdate, self._on_fleet_update)
 
     @property
     def max_report_age_s(self) -> float:
-        """How old what is known of a VM's requests may be, in seconds."""
+        """The maximum age of what VMs reported of their requests, in seconds."""
         if self._mesh.large:
-            return GATHERED_STEPS * GATHER_S
-        return TELL_S + TELL_EACH_S * len(self._memberships.live())
+            return GATHER_HOPS * GATHER_INTERVAL_S
+        return ANNOUNCE_INTERVAL_S + ANNOUNCE_INTERVAL_PER_VM_S * len(
+            self._memberships.live()
+        )
 
     def start(self) -> None:
-        """Begin to tell."""
-        self._tasks.spawn(self._tell_on())
+        """Start to announce periodically."""
+        self._tasks.spawn(self._announce_periodically())
 
     def stop(self) -> None:
-        """Tell no more."""
+        """Stop announcing."""
         self._tasks.cancel()
 
-    async def _tell_on(self) -> None:
+    async def _announce_periodically(self) -> None:
         while True:
             large = self._mesh.large
-            await self._timers.sleep(GATHER_S if large else self.max_report_age_s)
+            await self._timers.sleep(
+                GATHER_INTERVAL_S if large else self.max_report_age_s
+            )
             self.announce()
 
     def announce(self) -> None:
-        """Tell of this VM and its requests once, and pass on what was gathered."""
-        word = self._loads.build_update()
-        self._on_word(word)
+        """Announce this VM and its requests once, and forward gathered updates."""
+        update = self._loads.build_update()
+        self._on_update(update)
         if not self._mesh.large:
             self._count_quotas()
-            self._mesh.broadcast(word._replace(quotas=self._quotas.collect_uses()))
+            self._mesh.broadcast(update._replace(quotas=self._quotas.collect_uses()))
             return
         state = self._memberships.own_state()
         if not self._mesh.is_head:
-            self._tell_heads(state, word)
+            self._announce_to_heads(state, update)
             return
         self._mesh.table.note(state)
         self._count_quotas()
-        told = MemberLoads(state, word.loads, self._quotas.collect_uses())
-        self._note_near(told)
-        self._note_silent()
-        self._pass_on()
+        own = MemberLoads(state, update.loads, self._quotas.collect_uses())
+        self._store_subscriber_loads(own)
+        self._mark_silent()
+        self._forward()
 
     def _count_quotas(self) -> None:
-        """Count the quotas by what all VMs tell, where this VM knows who they are."""
+        """Count quotas from the announcements of all VMs, if the VMs are known."""
         if self._memberships.roster.count:
             self._quotas.mark_counting_locally()
 
-    def _tell_heads(self, state: MemberState, word: VmLoads) -> None:
-        """Tell the heads of this data centre, one of which feeds this VM."""
+    def _announce_to_heads(self, state: MemberState, update: VmLoads) -> None:
+        """Announce to the heads of this data centre, one of them the upstream head."""
         feed, serial = self._mesh.feed, self._mesh.fed_serial
         owned = self._owned()
         for head in self._mesh.links.near:
             if head == feed:
                 uses = self._quotas.collect_uses()
-                message = MemberUpdate(state, True, serial, owned, word.loads, uses)
+                message = MemberUpdate(state, True, serial, owned, update.loads, uses)
             else:
                 message = MemberUpdate(state, False, NOTHING_TOLD, (), ())
             self._mesh.cast_to((head,), message)
 
     # What a head does
 
-    def _note_silent(self) -> None:
-        """Say once of each VM fed here that it fell silent."""
-        silent_after = self._timers.now() - SILENT_S
+    def _mark_silent(self) -> None:
+        """Report each subscriber once that has fallen silent."""
+        silent_after = self._timers.now() - SILENCE_TIMEOUT_S
         table = self._mesh.table
         for vm, attachment in self._mesh.attachments.all.items():
-            # Another head may feed it by now.
+            # It may be subscribed to another head by now.
             if not attachment.fed or table.told_at(vm) >= silent_after:
                 continue
             state = table.states[vm]._replace(silent=True)
             if table.note(state):
-                self._note_near(MemberLoads(state, ()))
+                self._store_subscriber_loads(MemberLoads(state, ()))
 
-    def _note_near(self, told: MemberLoads) -> None:
-        """Keep the word of a VM that is fed here, until it is passed on.
+    def _store_subscriber_loads(self, loads: MemberLoads) -> None:
+        """Store the update of a subscriber until it is forwarded.
 
-        It replaces the one before, but for the use of quotas, which adds up.
+        It replaces the previous update, except for quota uses, which add up.
         """
-        vm = told.state.vm
-        earlier = self._near_words.get(vm)
+        vm = loads.state.vm
+        earlier = self._subscriber_loads.get(vm)
         if earlier is not None:
-            told = told._replace(quotas=earlier.quotas + told.quotas)
-        self._near_words[vm] = told
-        if not told.state.silent:
-            self._words[vm] = told
-
-    def _pass_on(self) -> None:
-        self._passed_at = self._timers.now()
-        self._surge_told = self._quotas.surging()
-        near, self._near_words = self._near_words, {}
-        words, self._words = self._words, {}
-        self._mesh.cast_to(self._mesh.other_heads, GroupUpdate(tuple(near.values())))
+            loads = loads._replace(quotas=earlier.quotas + loads.quotas)
+        self._subscriber_loads[vm] = loads
+        if not loads.state.silent:
+            self._all_loads[vm] = loads
+
+    def _forward(self) -> None:
+        self._forwarded_at = self._timers.now()
+        self._surge_announced = self._quotas.surging()
+        subscriber_loads, self._subscriber_loads = self._subscriber_loads, {}
+        all_loads, self._all_loads = self._all_loads, {}
+        self._mesh.cast_to(
+            self._mesh.other_heads, GroupUpdate(tuple(subscriber_loads.values()))
+        )
         attached = self._mesh.attachments.all
         if not attached:
             return
         running = self._loads.totals()
-        self._tell_changes(attached, running)
+        self._forward_changes(attached, running)
         for vm, attachment in attached.items():
             if attachment.fed and attachment.owned:
-                self._tell_uses(vm, attachment, words)
+                self._forward_uses(vm, attachment, all_loads)
 
-    def _tell_changes(
+    def _forward_changes(
         self, attached: dict[str, Attachment], running: tuple[TargetRunning, ...]
     ) -> None:
-        """Tell those that are fed here of members that changed, and of all targets."""
+        """Send subscribers the changed members and the totals of all targets."""
         table = self._mesh.table
-        since, serial = self._told_serial, table.serial
-        self._told_serial = serial
+        since, serial = self._announced_serial, table.serial
+        self._announced_serial = serial
         up_to_date, behind = [], []
         for vm, attachment in attached.items():
             if not attachment.fed:
@@ -200,47 +207,49 @@
             whole = FleetUpdate(NOTHING_TOLD, serial, living, running, *quotas)
             self._mesh.cast_to(behind, whole)
 
-    def _tell_uses(
-        self, vm: str, attachment: Attachment, words: dict[str, MemberLoads]
+    def _forward_uses(
+        self, vm: str, attachment: Attachment, all_loads: dict[str, MemberLoads]
     ) -> None:
-        """Tell a VM which requests use adapters of the targets that it orders."""
-        told = []
+        """Send a VM the requests that use adapters of the targets that it orders."""
+        forwarded = []
         using = set()
-        for other, word in words.items():
-            loads = _on_targets(word.loads, attachment.owned)
+        for other, update in all_loads.items():
+            loads = _on_targets(update.loads, attachment.owned)
             if loads:
                 using.add(other)
             if loads or other in attachment.told_of:
-                told.append(ForwardedLoads(other, loads))
-        attachment.told_of = (attachment.told_of - set(words)) | using
-        if told:
-            self._mesh.cast_to((vm,), GatheredLoads(tuple(told)))
+                forwarded.append(ForwardedLoads(other, loads))
+        attachment.told_of = (attachment.told_of - set(all_loads)) | using
+        if forwarded:
+            self._mesh.cast_to((vm,), GatheredLoads(tuple(forwarded)))
 
-    async def _take_member(self, sender, message: MemberUpdate) -> None:
-        """Take the word of a VM that has chosen this one for a head."""
+    async def _on_member_update(self, sender, message: MemberUpdate) -> None:
+        """Apply the update of a VM that has chosen this one as a head."""
         vm = sender.vm
         attachments = self._mesh.attachments
-        begins = attachments.note(vm, message.fed, message.owned, message.serial)
+        is_new = attachments.note(vm, message.fed, message.owned, message.serial)
         changed = self._mesh.table.note(message.state)
         if not message.fed:
             return
-        self._note_near(MemberLoads(message.state, message.loads, message.quotas))
+        self._store_subscriber_loads(
+            MemberLoads(message.state, message.loads, message.quotas)
+        )
         self._quotas.apply_uses(message.quotas)
-        self._take(vm, VmLoads(message.loads))
-        if begins:
+        self._apply(vm, VmLoads(message.loads))
+        if is_new:
             self._mesh.on_fed(vm)
-        if changed or begins or self._surges():
-            self._hurry()
+        if changed or is_new or self._has_unannounced_surge():
+            self._forward_soon()
 
-    def _surges(self) -> bool:
-        """Whether the others don't know yet that a workspace is over its limit."""
-        return not self._surge_told and self._quotas.surging()
+    def _has_unannounced_surge(self) -> bool:
+        """Whether the others have not been told that a workspace is over its limit."""
+        return not self._surge_announced and self._quotas.surging()
 
-    async def _take_group(self, sender, message: GroupUpdate) -> None:
-        """Take another head's words on the VMs that it feeds."""
+    async def _on_group_update(self, sender, message: GroupUpdate) -> None:
+        """Apply another head's updates of its subscribers."""
         self._mesh.attachments.note_head(sender.vm)
         if not self._mesh.is_head:
-            # It hears of members from one head alone, which numbers what it tells.
+            # Only the upstream head sends it members, with consecutive serials.
             return
         changed = False
         for member in message.members:
@@ -250,25 +259,25 @@
             changed |= self._mesh.table.note(member.state)
             self._quotas.apply_uses(member.quotas)
             if not member.state.silent:
-                self._words[vm] = member
-                self._take(vm, VmLoads(member.loads))
-        if changed or self._surges():
-            self._hurry()
+                self._all_loads[vm] = member
+                self._apply(vm, VmLoads(member.loads))
+        if changed or self._has_unannounced_surge():
+            self._forward_soon()
 
-    def _hurry(self) -> None:
-        """Pass changes of members on before the next word is due."""
+    def _forward_soon(self) -> None:
+        """Forward membership changes before the next update is due."""
         if self._mesh.is_head:
-            self._tasks.spawn_once("hurry", self._pass_on_soon)
+            self._tasks.spawn_once("forward", self._forward_after_delay)
 
-    async def _pass_on_soon(self) -> None:
-        await self._timers.sleep(HURRY_S)
-        if self._timers.now() - self._passed_at >= HURRY_S:
-            self._pass_on()
+    async def _forward_after_delay(self) -> None:
+        await self._timers.sleep(FORWARD_DELAY_S)
+        if self._timers.now() - self._forwarded_at >= FORWARD_DELAY_S:
+            self._forward()
 
-    # What the others take
+    # What subscribers receive
 
-    async def _take_fleet(self, sender, message: FleetUpdate) -> None:
-        """Take a head's word on members and targets."""
+    async def _on_fleet_update(self, sender, message: FleetUpdate) -> None:
+        """Apply a head's update of members and targets."""
         if sender.vm != self._mesh.feed:
             return
         self._loads.apply_totals(message.running)
@@ -280,24 +289,24 @@
             for state in message.members:
                 table.note(state)
         else:
-            # Changes in between were lost with a connection. All members are asked for.
+            # Changes in between were lost with a connection. This requests all members.
             self._mesh.fed_serial = NOTHING_TOLD
             return
         table.confirm()
         self._mesh.fed_serial = message.serial
 
-    async def _take_word(self, sender, message: VmLoads) -> None:
+    async def _on_loads(self, sender, message: VmLoads) -> None:
         self._quotas.apply_uses(message.quotas)
-        self._take(sender.vm, message)
+        self._apply(sender.vm, message)
 
-    async def _take_gathered(self, sender, message: GatheredLoads) -> None:
-        for word in message.words:
-            if word.vm != self._mesh.vm:
-                self._take(word.vm, VmLoads(word.loads))
+    async def _on_gathered(self, sender, message: GatheredLoads) -> None:
+        for update in message.words:
+            if update.vm != self._mesh.vm:
+                self._apply(update.vm, VmLoads(update.loads))
 
-    def _take(self, vm: str, word: VmLoads) -> None:
-        self._loads.apply_loads(vm, word)
-        self._on_word(word)
+    def _apply(self, vm: str, update: VmLoads) -> None:
+        self._loads.apply_loads(vm, update)
+        self._on_update(update)
 
 
 def _on_targets(
--- a/hawthornlead/gateway/load_checks.py
+++ b/hawthornlead/gateway/load_checks.py
@@ -20,7 +20,7 @@
     ::
 
         refusal = checks.refusal(entry, key, version)
-        if refusal is None and not checks.has_room(key):
+        if refusal is None and not checks.has_capacity(key):
             victim = checks.victim()
     """
 
@@ -30,25 +30,25 @@
         target: str,
         slots: EngineSlots,
         in_use: AdaptersInUse,
-        late: UnacknowledgedOrders,
+        unacknowledged: UnacknowledgedOrders,
         timers: TimerService,
     ):
         self._target = target
         self._slots = slots
         self._in_use = in_use
-        self._late = late
+        self._unacknowledged = unacknowledged
         self._timers = timers
 
-    def is_coming(self, key: AdapterKey, version: int) -> bool:
+    def is_arriving(self, key: AdapterKey, version: int) -> bool:
         """Whether an adapter is on its way, at this version or a newer one."""
         slot = self._slots.slots.get(key)
         if slot is None or slot.state is not SlotState.ARRIVING:
             return False
         return not version or slot.version >= version
 
-    def makes_sense(self, key: AdapterKey, version: int) -> bool:
+    def is_needed(self, key: AdapterKey, version: int) -> bool:
         """Whether an order is needed now, perhaps after others that came first."""
-        if self._slots.ready(key, version) or self.is_coming(key, version):
+        if self._slots.ready(key, version) or self.is_arriving(key, version):
             return False
         return self._slots.arriving < MAX_ARRIVING
 
@@ -63,25 +63,25 @@
         if self._slots.leaving:
             return Failure(ErrorKind.NO_SLOT, "an adapter in use is leaving", 0.5)
         slot = self._slots.slots.get(key)
-        self._note_running()
+        self._refresh_running()
         if slot is not None and slot.version < version and self._slots.running(key):
             # The engine replaces a version only when its runs have ended, and
             # meanwhile runs nothing that is new: another engine is sooner.
             return Failure(ErrorKind.NO_SLOT, "the old version runs", 0.3)
         return None
 
-    def has_room(self, key: AdapterKey) -> bool:
+    def has_capacity(self, key: AdapterKey) -> bool:
         """Whether an adapter has its slot, or one is free beside what is spared."""
         if key in self._slots.slots:
             return True
-        return self._slots.has_room(key, self._late.spare_slots)
+        return self._slots.has_capacity(key, self._unacknowledged.spare_slots)
 
     def victim(self) -> AdapterKey | None:
         """Return the adapter to evict, None if all are in use."""
-        self._note_running()
+        self._refresh_running()
         return self._slots.victim(
             self._timers.now(), self._in_use.announce_interval_s()
         )
 
-    def _note_running(self) -> None:
-        self._slots.note_running(self._in_use.running(self._target))
+    def _refresh_running(self) -> None:
+        self._slots.apply_running(self._in_use.running(self._target))
--- a/hawthornlead/gateway/observed_targets.py
+++ b/hawthornlead/gateway/observed_targets.py
@@ -29,7 +29,7 @@
         self._told: TargetHoldings | None = None
         self._held: dict[AdapterKey, tuple[int, bool]] = {}
         # Until its owner tells, nothing was seen to leave it either.
-        self._recent = RecentAdapters(kept=0)
+        self._recent = RecentAdapters(limit=0)
         self.started_ms = started_ms
         self.since = since
         self.owner = owner
@@ -57,7 +57,7 @@
         states = zip(held.versions, held.ready, strict=False)
         self._held = dict(zip(keys, states, strict=False))
         for key in before.keys() - self._held.keys():
-            self._recent.note(key)
+            self._recent.add(key)
 
     def on_released(self, vm: str, fence: int) -> None:
         """Note that an owner gave the target back; its words of before count no more.
--- a/hawthornlead/gateway/owner_objects.py
+++ b/hawthornlead/gateway/owner_objects.py
@@ -16,7 +16,7 @@
 OWNERS_KIND = "hawthornlead-owners"
 # So many former owners are remembered, so that the object stays small: more would take
 # as many VMs that each leave within a second.
-FORMER_KEPT = 4
+MAX_FORMER_OWNERS = 4
 
 
 class OwnerObject(NamedTuple):
@@ -35,7 +35,7 @@
         """Return the object as a VM claims it that met it at this revision."""
         former = self.former
         if self.vm and self.vm != vm:
-            former = (self.vm, *former)[:FORMER_KEPT]
+            former = (self.vm, *former)[:MAX_FORMER_OWNERS]
         return OwnerObject(vm, incarnation, revision + 1, former)
 
     def released(self, settled: bool) -> "OwnerObject":
@@ -45,7 +45,7 @@
         owners before it are of no account.
         """
         earlier = () if settled else tuple([vm for vm in self.former if vm != self.vm])
-        former = (self.vm, *earlier)[:FORMER_KEPT]
+        former = (self.vm, *earlier)[:MAX_FORMER_OWNERS]
         return OwnerObject("", "", self.fence, former)
 
 
--- a/hawthornlead/gateway/ownerships.py
+++ b/hawthornlead/gateway/ownerships.py
@@ -25,20 +25,20 @@
 )
 from .records import StoredRecord
 from .store_clients import StoreClient
-from .unacknowledged_orders import ON_ITS_WAY_S
+from .unacknowledged_orders import MAX_IN_FLIGHT_S
 from .vm_leases import VmLease
 
 # How long the VMs further down in an engine's order wait for the one before them.
 RANK_WAIT_S = 1.5
 # An engine whose owner may still hold its lease is looked at again after this. A look
 # costs two calls of the store, and a lease lasts some seven times as long.
-HELD_LOOK_S = 2.0
+HELD_RECHECK_S = 2.0
 # Orders of two VMs by turns within this time count as orders of two owners at once; the
 # platform bounds it to 3 s.
-TURN_S = 3.0
+MIN_HANDOVER_S = 3.0
 # An order is sent this long before the lease runs out, at the latest: one whose packet
 # is lost and sent again must not meet a successor's order.
-ORDER_MARGIN_S = ON_ITS_WAY_S
+ORDER_MARGIN_S = MAX_IN_FLIGHT_S
 
 
 class Ownership(NamedTuple):
@@ -140,16 +140,16 @@
         record = self._memberships.record_of(held.vm)
         return record is None or record.incarnation == held.incarnation
 
-    def note_released(self, target: str) -> None:
+    def on_released(self, target: str) -> None:
         """Note that an owner gave an engine back, so that a claim may succeed now."""
         self._held.pop(target, None)
 
-    def note_idle(self) -> None:
+    def on_idle(self) -> None:
         """Let the lease go while nothing is owned."""
         if not self._owned:
             self._lease.want(False)
 
-    def note_order(self, target: str) -> None:
+    def record_order(self, target: str) -> None:
         """Note that an order is being given to an engine."""
         self._ordered_at[target] = self._lease.now()
 
@@ -193,14 +193,14 @@
             return None
         fence = ownership.fence
         self._events.emit(EventKind.OWNERSHIP_RELEASED, target, fence=fence)
-        settled = self._lease.now() - ownership.since >= TURN_S
+        settled = self._lease.now() - ownership.since >= MIN_HANDOVER_S
         spec = owner_spec(ownership.owner.released(settled))
         written = await self._client.replace(
             OWNERS_KIND, target, spec, ownership.revision
         )
         return ownership if written.is_ok() else None
 
-    async def store_answers(self) -> bool:
+    async def is_store_available(self) -> bool:
         """Whether the store could take a release now."""
         for target in self._owned:
             found = await self._client.get(OWNERS_KIND, target)
@@ -223,16 +223,16 @@
         if owner.vm == self._memberships.vm:
             # An earlier process of this VM, or a claim whose answer was lost.
             return True
-        if self._takes_turns(target, owner):
+        if self._would_alternate(target, owner):
             return False
         self._held.pop(target, None)
         if not owner.vm or await self._lease.has_run_out(owner.vm, owner.incarnation):
             return True
-        until = self._lease.now() + HELD_LOOK_S
+        until = self._lease.now() + HELD_RECHECK_S
         self._held[target] = _Held(owner.vm, owner.incarnation, until)
         return False
 
-    def _takes_turns(self, target: str, owner: OwnerObject) -> bool:
+    def _would_alternate(self, target: str, owner: OwnerObject) -> bool:
         """Whether this VM ordered the engine a moment ago and another one since.
 
         Claimed now, the engine would be ordered by two VMs in turn, which counts as
@@ -245,7 +245,9 @@
         ordered_at = self._ordered_at.get(target)
         if ordered_at is None and vm in owner.former:
             ordered_at = self._started_at
-        return ordered_at is not None and self._lease.now() - ordered_at < TURN_S
+        return (
+            ordered_at is not None and self._lease.now() - ordered_at < MIN_HANDOVER_S
+        )
 
     async def _prove_unowned(self, target: str) -> bool:
         """Whether no other VM owns an engine whose owner object can't be read.
--- a/hawthornlead/gateway/prompt_pacers.py
+++ b/hawthornlead/gateway/prompt_pacers.py
@@ -9,7 +9,7 @@
 # What an engine is taken to read in a millisecond.
 TOKENS_PER_MS = 38.1
 # For who only asks how long the wait is.
-LONGEST_GAP_MS = 400.0
+MAX_GAP_MS = 400.0
 # The share of an engine's time that prompts may take while others wait for theirs. What
 # is left of a pause must do for the tokens of the streams themselves.
 DUTY = 0.5
@@ -41,7 +41,7 @@
         return wait_s
 
     def expected_wait(
-        self, now: float, tokens: int = 0, gap_ms: float = LONGEST_GAP_MS
+        self, now: float, tokens: int = 0, gap_ms: float = MAX_GAP_MS
     ) -> float:
         """Return how long a prompt would have to wait, in seconds.
 
--- a/hawthornlead/gateway/recent_adapters.py
+++ b/hawthornlead/gateway/recent_adapters.py
@@ -4,42 +4,42 @@
 
 # How many an engine remembers for each of its slots, at least: what it loads again
 # within so many others comes fast, what it loads later is fetched again.
-KEPT_EACH_SLOT = 6
+REMEMBERED_PER_SLOT = 6
 
 
 def remembered_adapters(adapter_slots: int) -> int:
     """Return how many adapters an engine with so many slots remembers."""
-    return KEPT_EACH_SLOT * adapter_slots
+    return REMEMBERED_PER_SLOT * adapter_slots
 
 
 class RecentAdapters:
-    """The newest adapters that were noted for one engine, ``kept`` at most.
+    """The newest adapters that were noted for one engine, ``limit`` at most.
 
     ::
 
         recent = RecentAdapters(remembered_adapters(5))
-        recent.note(key)
+        recent.add(key)
         key in recent
     """
 
-    def __init__(self, kept: int):
-        self._kept = kept
+    def __init__(self, limit: int):
+        self._limit = limit
         self._keys: dict[AdapterKey, None] = {}
 
     def __contains__(self, key: AdapterKey) -> bool:
         return key in self._keys
 
-    def set_limit(self, kept: int) -> None:
+    def set_limit(self, limit: int) -> None:
         """Take another bound."""
-        self._kept = kept
+        self._limit = limit
         self._drop_oldest()
 
-    def note(self, key: AdapterKey) -> None:
+    def add(self, key: AdapterKey) -> None:
         """Note an adapter as the newest; the oldest beyond the bound is dropped."""
         self._keys.pop(key, None)
         self._keys[key] = None
         self._drop_oldest()
 
     def _drop_oldest(self) -> None:
-        while len(self._keys) > self._kept:
+        while len(self._keys) > self._limit:
             del self._keys[next(iter(self._keys))]
--- a/hawthornlead/gateway/slot_queues.py
+++ b/hawthornlead/gateway/slot_queues.py
@@ -18,7 +18,7 @@
 RATE_WINDOW_S = 2.0
 # What is taken for the time between two free slots before it was seen: five slots with
 # runs of one second each.
-START_EVERY_S = 0.2
+INITIAL_INTERVAL_S = 0.2
 
 
 class SlotRequest(NamedTuple):
@@ -41,9 +41,9 @@
 
         wanted = SlotRequest(key, rank=0, due_at=now + 0.3, until=now + 0.5)
         if queue.expected_wait(wanted, now) <= wanted.until - now:
-            queue.enter(wanted)
+            queue.add(wanted)
         queue.is_next(key, now)
-        queue.leave(wanted)
+        queue.remove(wanted)
     """
 
     def __init__(self):
@@ -53,15 +53,15 @@
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def enter(self, wanted: SlotRequest) -> None:
+    def add(self, wanted: SlotRequest) -> None:
         """Let a request wait."""
         self._waiting.append(wanted)
 
-    def leave(self, wanted: SlotRequest) -> None:
+    def remove(self, wanted: SlotRequest) -> None:
         """Note that a request waits no more."""
         self._waiting.remove(wanted)
 
-    def note_taken(self, now: float) -> None:
+    def record_taken(self, now: float) -> None:
         """Note that a slot was taken."""
         self._taken.append(now)
 
@@ -78,14 +78,14 @@
         for other in self._waiting:
             if other.key != wanted.key and _order(other, now) < mine:
                 ahead.add(other.key)
-        return (len(ahead) + 1) * self._every_s(now)
+        return (len(ahead) + 1) * self._slot_interval_s(now)
 
-    def _every_s(self, now: float) -> float:
+    def _slot_interval_s(self, now: float) -> float:
         """Return the time between two free slots, as seen lately."""
         self._taken = [at for at in self._taken if now - at < RATE_WINDOW_S]
         if not self._taken:
-            return START_EVERY_S
-        return min(START_EVERY_S * 2, RATE_WINDOW_S / len(self._taken))
+            return INITIAL_INTERVAL_S
+        return min(INITIAL_INTERVAL_S * 2, RATE_WINDOW_S / len(self._taken))
 
 
 def _order(wanted: SlotRequest, now: float) -> tuple[bool, int, float]:
--- a/hawthornlead/gateway/unacknowledged_orders.py
+++ b/hawthornlead/gateway/unacknowledged_orders.py
@@ -25,14 +25,14 @@
 from ..timers import TimerService
 
 # The longest time after which engines carry out an order that got no answer.
-LATE_ORDER_S = 12.0
+MAX_ORDER_DELAY_S = 12.0
 # Between looks at the count while a late order may come.
-LOOK_S = 0.5
+CHECK_INTERVAL_S = 0.5
 SPARE_SLOTS = 1
 # Between looks whether an order was answered; engines answer within milliseconds.
-SETTLE_S = 0.005
+POLL_INTERVAL_S = 0.005
 # A packet that is lost is sent again within a second.
-ON_ITS_WAY_S = 1.0
+MAX_IN_FLIGHT_S = 1.0
 
 
 class UnacknowledgedOrders:
@@ -43,8 +43,8 @@
     be of a former start while this one is younger than they are::
 
         late = UnacknowledgedOrders(timers=timers, since=now, unanswered_until=before)
-        late.sent()
-        late.answered()
+        late.on_sent()
+        late.on_answered()
     """
 
     def __init__(
@@ -52,44 +52,44 @@
     ):
         self._timers = timers
         self._unanswered_until = unanswered_until
-        self._guard_until = min(unanswered_until, since + LATE_ORDER_S)
+        self._guard_until = min(unanswered_until, since + MAX_ORDER_DELAY_S)
         self._sent_at: float | None = None
 
     @property
-    def expected(self) -> bool:
+    def may_arrive(self) -> bool:
         """Whether an order that was given to a former start may still come."""
         return self._timers.now() < self._guard_until
 
     @property
     def spare_slots(self) -> int:
         """How many slots to keep free beyond those that are used."""
-        return SPARE_SLOTS if self.expected else 0
+        return SPARE_SLOTS if self.may_arrive else 0
 
     @property
     def unanswered_until(self) -> float:
         """Until when an order without an answer may be carried out."""
         if self._sent_at is None:
             return self._unanswered_until
-        return max(self._unanswered_until, self._sent_at + LATE_ORDER_S)
+        return max(self._unanswered_until, self._sent_at + MAX_ORDER_DELAY_S)
 
     @property
-    def on_its_way_s(self) -> float:
+    def in_flight_s(self) -> float:
         """For how long the order sent last may still be on the network, unanswered."""
         if self._sent_at is None:
             return 0.0
-        return max(0.0, self._sent_at + ON_ITS_WAY_S - self._timers.now())
+        return max(0.0, self._sent_at + MAX_IN_FLIGHT_S - self._timers.now())
 
-    def sent(self) -> None:
+    def on_sent(self) -> None:
         """Note that an order is being sent; it counts as unanswered until it is."""
         self._unanswered_until = self.unanswered_until
         self._sent_at = self._timers.now()
 
-    def answered(self) -> None:
+    def on_answered(self) -> None:
         """Note that the engine answered the order that was sent last."""
         self._sent_at = None
 
-    async def settled(self, within_s: float) -> None:
+    async def wait_answered(self, within_s: float) -> None:
         """Wait for the answer to an order that is being given."""
         until = self._timers.now() + within_s
-        while self.on_its_way_s > 0 and self._timers.now() < until:
-            await self._timers.sleep(SETTLE_S)
+        while self.in_flight_s > 0 and self._timers.now() < until:
+            await self._timers.sleep(POLL_INTERVAL_S)
--- a/hawthornlead/tests/fakes_fleets.py
+++ b/hawthornlead/tests/fakes_fleets.py
@@ -189,7 +189,7 @@
             loads=self.loads,
             mesh=self.mesh,
             timers=fleet.timers,
-            on_word=self._note_word,
+            on_update=self._note_word,
             owned=lambda: self.owned,
             quotas=self.quotas,
         )
--- a/hawthornlead/tests/fakes_owned_engines.py
+++ b/hawthornlead/tests/fakes_owned_engines.py
@@ -149,7 +149,7 @@
         """Return the ownership, if any."""
         return Ownership(target, self.fence, 1, 1, 0.0, UNOWNED) if self.fence else None
 
-    def note_order(self, target):
+    def record_order(self, target):
         """Take note of an order; nobody else owns the engine here."""
 
 
@@ -194,7 +194,7 @@
             arrivals={False: ArrivalTimes(), True: ArrivalTimes()},
             events=EventRing("vm-1", HybridClock(self.timers)),
             metrics=GatewayMetrics(CollectorRegistry()),
-            late=late,
+            unacknowledged=late,
             on_changed=lambda owner: self.told.append(owner.holdings),
             on_restarted=self.restarts.append,
         )
@@ -236,8 +236,8 @@
     """Shorten the waits for reports, which this engine gives without a lag."""
     monkeypatch.setattr(engine_owners, "REPORT_LAG_S", 0.02)
     monkeypatch.setattr(engine_reports, "REPORT_LAG_S", 0.02)
-    monkeypatch.setattr(engine_reports, "LOOK_S", 0.05)
-    monkeypatch.setattr(adapter_requests, "FIRST_LOOK_S", 0.03)
-    monkeypatch.setattr(fetch_trackers, "FIRST_LOOK_S", 0.03)
-    monkeypatch.setattr(fetch_trackers, "LOOK_S", 0.01)
+    monkeypatch.setattr(engine_reports, "CHECK_INTERVAL_S", 0.05)
+    monkeypatch.setattr(adapter_requests, "FIRST_POLL_S", 0.03)
+    monkeypatch.setattr(fetch_trackers, "FIRST_POLL_S", 0.03)
+    monkeypatch.setattr(fetch_trackers, "POLL_INTERVAL_S", 0.01)
     monkeypatch.setattr(engine_owners, "REPORT_RETRY_S", 0.02)
--- a/hawthornlead/tests/fakes_spread.py
+++ b/hawthornlead/tests/fakes_spread.py
@@ -196,7 +196,7 @@
             loads=TargetLoads(timers=self.timers),
             mesh=self.mesh,
             timers=self.timers,
-            on_word=lambda word: None,
+            on_update=lambda word: None,
             owned=lambda: (),
             quotas=quotas,
         )
--- a/hawthornlead/tests/slot_loads.py
+++ b/hawthornlead/tests/slot_loads.py
@@ -91,12 +91,12 @@
         due_at = self._now + OBJECTIVE_S - LOAD_S - FIRST_S
         waiting = _Waiting(self._now, rank, SlotRequest(key, rank, due_at, due_at))
         self._outcome.asked[rank] += 1
-        self._slots.note_use(key, 1, self._now)
+        self._slots.record_use(key, 1, self._now)
         if self._try(waiting):
             return
         expected_s = self._queue.expected_wait(waiting.wanted, self._now)
         if self._policy.waits and self._now + expected_s <= due_at:
-            self._queue.enter(waiting.wanted)
+            self._queue.add(waiting.wanted)
             self._waiting.append(waiting)
             return
         self._outcome.refused[rank] += 1
@@ -112,14 +112,14 @@
             return True
         if not self._queue.is_next(key, self._now):
             return False
-        if not self._slots.has_room(key):
-            self._slots.note_running(self._running)
+        if not self._slots.has_capacity(key):
+            self._slots.apply_running(self._running)
             victim = self._slots.victim(self._now, TOLD_EVERY_S)
             if victim is None:
                 return False
             self._slots.remove(victim)
         self._slots.set(key, 1, SlotState.ARRIVING, self._now)
-        self._queue.note_taken(self._now)
+        self._queue.record_taken(self._now)
         self._joined[key] = [waiting]
         self._arrivals.append((self._now + LOAD_S, key))
         self._outcome = self._outcome._replace(fetched=self._outcome.fetched + 1)
@@ -129,7 +129,7 @@
         key = waiting.wanted.key
         if self._now + FIRST_S - waiting.arrived_at <= OBJECTIVE_S:
             self._outcome.in_time[waiting.rank] += 1
-        self._slots.note_turn(key, "vm-1", self._now)
+        self._slots.record_turn(key, "vm-1", self._now)
         self._running[key] = self._running.get(key, 0) + 1
         ends_at = self._now + self._rng.expovariate(1 / RUN_S)
         self._run_ends.append((ends_at, key))
@@ -159,4 +159,4 @@
             elif not self._try(waiting):
                 continue
             self._waiting.remove(waiting)
-            self._queue.leave(waiting.wanted)
+            self._queue.remove(waiting.wanted)
--- a/hawthornlead/tests/test_engine_orders.py
+++ b/hawthornlead/tests/test_engine_orders.py
@@ -9,8 +9,8 @@
 from hawthornlead.events import EventRing
 from hawthornlead.gateway.engine_calls import EngineCalls
 from hawthornlead.gateway.engine_orders import (
-    LOAD_UNDER_WAY_S,
-    MOST_UNANSWERED,
+    LOAD_IN_PROGRESS_S,
+    MAX_UNANSWERED,
     EngineOrders,
 )
 from hawthornlead.gateway.engine_slots import AdapterKey
@@ -63,9 +63,9 @@
         holder="a",
         events=EventRing("a", HybridClock(fleet.timers)),
         metrics=GatewayMetrics(CollectorRegistry()),
-        late=UnacknowledgedOrders(timers=fleet.timers),
+        unacknowledged=UnacknowledgedOrders(timers=fleet.timers),
     )
-    orders.take_accepted(0)
+    orders.set_accepted(0)
     return orders
 
 
@@ -145,7 +145,7 @@
     connections.go_on.set()
     orders = orders_of(fleet, connections)
     key = AdapterKey("m", "a1")
-    for _ in range(MOST_UNANSWERED):
+    for _ in range(MAX_UNANSWERED):
         assert orders.accepted == 0
         outcome = await orders.give(ENTRY, OrderKind.LOAD, key, 1)
         assert outcome is OrderOutcome.UNKNOWN
@@ -167,16 +167,16 @@
     first, second = AdapterKey("m", "a1"), AdapterKey("m", "a2")
     await orders.give(ENTRY, OrderKind.LOAD, first, 0)
     await orders.give(ENTRY, OrderKind.LOAD, second, 0)
-    assert (orders.accepted, orders.surely_accepted) == (2, 2)
+    assert (orders.accepted, orders.confirmed_accepted) == (2, 2)
     # The load under way may bring this version already, and the order change nothing.
     await orders.give(ENTRY, OrderKind.LOAD, first, 2)
-    assert (orders.accepted, orders.surely_accepted) == (None, 2)
-    orders.take_accepted(2)
+    assert (orders.accepted, orders.confirmed_accepted) == (None, 2)
+    orders.set_accepted(2)
     await orders.give(ENTRY, OrderKind.UNLOAD, second, 0)
-    orders.take_accepted(3)
+    orders.set_accepted(3)
     await orders.give(ENTRY, OrderKind.LOAD, second, 0)
-    assert (orders.accepted, orders.surely_accepted) == (4, 4)
-    fleet.pass_time(LOAD_UNDER_WAY_S + 0.1)
+    assert (orders.accepted, orders.confirmed_accepted) == (4, 4)
+    fleet.pass_time(LOAD_IN_PROGRESS_S + 0.1)
     await fleet.a.lease._renew()
     await orders.give(ENTRY, OrderKind.LOAD, first, 3)
-    assert (orders.accepted, orders.surely_accepted) == (5, 5)
+    assert (orders.accepted, orders.confirmed_accepted) == (5, 5)
--- a/hawthornlead/tests/test_engine_owners.py
+++ b/hawthornlead/tests/test_engine_owners.py
@@ -147,7 +147,7 @@
 async def test_an_engine_that_restarted_empty_gets_its_model(bed):
     bed.engine.models.clear()
     bed.engine.held.clear()
-    bed.owner._orders.take_accepted(None)
+    bed.owner._orders.set_accepted(None)
     while not bed.engine.orders or "tide" not in bed.owner.slots.models:
         await asyncio.sleep(0.01)
     assert bed.engine.orders[-1].model == "tide"
@@ -157,7 +157,7 @@
 async def test_a_refused_request_makes_the_owner_look_again(bed):
     assert (await bed.load("a1")).is_ok()
     bed.engine.held.pop("a1")
-    bed.owner.missing(AdapterKey("tide", "a1"))
+    bed.owner.on_adapter_missing(AdapterKey("tide", "a1"))
     while bed.owner.slots.ready(AdapterKey("tide", "a1"), 0):
         await asyncio.sleep(0.01)
     assert (await bed.load("a1")).is_ok()
@@ -173,7 +173,7 @@
     assert (await bed.load("a1")).is_ok()
     key = AdapterKey("tide", "a1")
     bed.engine.arriving["a1"] = bed.engine.held.pop("a1")
-    bed.owner.missing(key)
+    bed.owner.on_adapter_missing(key)
     assert not bed.owner.slots.ready(key, 0)
     assert bed.owner.known
     assert (await bed.load("a2")).is_ok()
--- a/hawthornlead/tests/test_former_starts.py
+++ b/hawthornlead/tests/test_former_starts.py
@@ -37,8 +37,8 @@
                 gateway._parts.healths.record_failure(engine.target, gone=True)
             gateway._parts.loads.on_request_started(engine.target, KEY)
             full = Failure(ErrorKind.NO_SLOT, "no slot to spare", 0.2)
-            gateway._parts.placer._survey.mark_full(engine.target, full)
-            assert engine.target in gateway._parts.placer._survey._slot_waits
+            gateway._parts.placer._scorer.mark_full(engine.target, full)
+            assert engine.target in gateway._parts.placer._scorer._slot_waits
         told = deployment.gateways[0]._parts.loads
         await deployment.until(lambda: told.running(engine.target) == 2)
         await engine.restart()
@@ -49,7 +49,7 @@
             assert not parts.healths.is_suspect(engine.target)
             assert parts.healths.cost_ms(engine.target) == 0
             assert parts.loads.running(engine.target) == 0
-            assert engine.target not in parts.placer._survey._slot_waits
+            assert engine.target not in parts.placer._scorer._slot_waits
             parts.loads.on_request_ended(engine.target, KEY)
             assert parts.loads.running(engine.target) == 0
             assert parts.loads.own_total == 0
--- a/hawthornlead/tests/test_gateway_decisions.py
+++ b/hawthornlead/tests/test_gateway_decisions.py
@@ -7,9 +7,9 @@
 from hawthornlead.gateway.arrival_times import ArrivalTimes
 from hawthornlead.gateway.drains import Drain
 from hawthornlead.gateway.engine_slots import (
-    JUST_USED_S,
-    TURN_ASKED_WITHIN_S,
-    TURNS_KEPT_S,
+    TURN_REQUEST_GRACE_S,
+    TURN_RETENTION_S,
+    UNREPORTED_TURN_S,
     AdapterKey,
     EngineSlots,
     SlotState,
@@ -143,14 +143,16 @@
 
 def test_no_adapter_in_use_is_evicted():
     slots = EngineSlots(SPEC)
-    slots.take_report(report(ready=("a1", "a2", "a3")), now=0.0)
-    slots.note_running({key("a1"): 2})
-    slots.note_turn(key("a2"), "vm-1", at=10.0)
+    slots.apply_report(report(ready=("a1", "a2", "a3")), now=0.0)
+    slots.apply_running({key("a1"): 2})
+    slots.record_turn(key("a2"), "vm-1", at=10.0)
     assert slots.victim(now=10.0) == key("a3")
     slots.remove(key("a3"))
-    assert slots.victim(now=10.0 + JUST_USED_S / 2) is None
-    assert slots.victim(now=10.0 + 2 * JUST_USED_S, announce_interval_s=1.0) is None
-    assert slots.victim(now=10.0 + 2 * JUST_USED_S) == key("a2")
+    assert slots.victim(now=10.0 + UNREPORTED_TURN_S / 2) is None
+    assert (
+        slots.victim(now=10.0 + 2 * UNREPORTED_TURN_S, announce_interval_s=1.0) is None
+    )
+    assert slots.victim(now=10.0 + 2 * UNREPORTED_TURN_S) == key("a2")
 
 
 def test_an_adapter_may_leave_as_soon_as_its_requests_are_known_to_have_ended():
@@ -162,9 +164,9 @@
     leaves the old waits.
     """
     slots = EngineSlots(SPEC)
-    slots.take_report(report(ready=("a1",)), now=0.0)
+    slots.apply_report(report(ready=("a1",)), now=0.0)
     for vm in ("vm-1", "vm-2", "vm-1"):
-        slots.note_turn(key("a1"), vm, at=10.0)
+        slots.record_turn(key("a1"), vm, at=10.0)
     slots.end_turn(key("a1"), "vm-1")
     slots.end_turn(key("a1"), "vm-2")
     assert slots.victim(now=10.1, announce_interval_s=0.24) is None
@@ -180,17 +182,17 @@
     """
     slots = EngineSlots(SPEC)
     for number in range(50):
-        slots.note_turn(key(f"a{number}"), "vm-1", at=10.0)
-    slots.forget_old_uses(now=10.0 + TURNS_KEPT_S / 2)
+        slots.record_turn(key(f"a{number}"), "vm-1", at=10.0)
+    slots.expire_uses(now=10.0 + TURN_RETENTION_S / 2)
     assert len(slots._turns) == 50
-    slots.forget_old_uses(now=10.1 + TURNS_KEPT_S)
+    slots.expire_uses(now=10.1 + TURN_RETENTION_S)
     assert not slots._turns
 
 
 def test_an_end_that_is_told_twice_frees_no_other_request():
     slots = EngineSlots(SPEC)
-    slots.take_report(report(ready=("a1",)), now=0.0)
-    slots.note_turn(key("a1"), "vm-1", at=10.0)
+    slots.apply_report(report(ready=("a1",)), now=0.0)
+    slots.record_turn(key("a1"), "vm-1", at=10.0)
     slots.end_turn(key("a1"), "vm-2")
     assert slots.victim(now=10.1, announce_interval_s=0.24) is None
 
@@ -198,35 +200,35 @@
 def test_an_adapter_that_has_just_come_waits_for_who_asked_for_it():
     slots = EngineSlots(SPEC)
     slots.set(key("a1"), 1, SlotState.READY, now=10.0)
-    assert slots.victim(now=10.0 + TURN_ASKED_WITHIN_S / 2) is None
-    assert slots.victim(now=10.0 + 2 * TURN_ASKED_WITHIN_S) == key("a1")
+    assert slots.victim(now=10.0 + TURN_REQUEST_GRACE_S / 2) is None
+    assert slots.victim(now=10.0 + 2 * TURN_REQUEST_GRACE_S) == key("a1")
 
 
 def test_the_least_asked_for_adapter_is_evicted_first():
     slots = EngineSlots(SPEC)
-    slots.take_report(report(ready=("a1", "a2", "a3")), now=0.0)
+    slots.apply_report(report(ready=("a1", "a2", "a3")), now=0.0)
     for name, count in (("a1", 6), ("a2", 1), ("a3", 9)):
-        slots.note_use(key(name), count, now=1.0)
+        slots.record_use(key(name), count, now=1.0)
     assert slots.victim(now=5.0) == key("a2")
 
 
 def test_arriving_and_leaving_adapters_use_slots():
     """An engine breaks down when it is ordered to load more than it has slots."""
     slots = EngineSlots(SPEC)
-    slots.take_report(report(ready=("a1",), arriving=("a2",)), now=0.0)
-    assert slots.has_room(key("a9"))
+    slots.apply_report(report(ready=("a1",), arriving=("a2",)), now=0.0)
+    assert slots.has_capacity(key("a9"))
     slots.set(key("a1"), 1, SlotState.LEAVING, now=0.0)
     slots.set(key("a3"), 1, SlotState.ARRIVING, now=0.0)
-    assert not slots.has_room(key("a9"))
-    slots.take_report(report(ready=("a1", "a3"), arriving=("a2",)), now=1.0)
+    assert not slots.has_capacity(key("a9"))
+    slots.apply_report(report(ready=("a1", "a3"), arriving=("a2",)), now=1.0)
     assert slots.slots[key("a1")].state is SlotState.LEAVING
-    assert not slots.has_room(key("a9"))
+    assert not slots.has_capacity(key("a9"))
 
 
 def test_memory_bounds_adapters_too():
     slots = EngineSlots(SPEC._replace(memory_mb=101.5, adapter_slots=9))
-    slots.take_report(report(ready=("a1",)), now=0.0)
-    assert not slots.has_room(key("a2"))
+    slots.apply_report(report(ready=("a1",)), now=0.0)
+    assert not slots.has_capacity(key("a2"))
 
 
 def test_loads_of_silent_vms_are_forgotten(timers):
@@ -329,8 +331,8 @@
 def test_counts_of_adapters_that_nobody_asks_for_are_dropped():
     """A VM meets thousands of adapters a day, most of them once."""
     slots = EngineSlots(SPEC)
-    slots.note_use(key("a1"), 1, now=0.0)
-    slots.note_use(key("a2"), 1, now=0.0)
-    slots.note_use(key("a2"), 1, now=100.0)
-    slots.forget_old_uses(now=110.0)
+    slots.record_use(key("a1"), 1, now=0.0)
+    slots.record_use(key("a2"), 1, now=0.0)
+    slots.record_use(key("a2"), 1, now=100.0)
+    slots.expire_uses(now=110.0)
     assert set(slots._uses) == {key("a2")}
--- a/hawthornlead/tests/test_gateway_drains.py
+++ b/hawthornlead/tests/test_gateway_drains.py
@@ -179,7 +179,7 @@
         await deployment.until(
             lambda: deployment.store.spec(OWNERS_KIND, target)["vm"] != vm
         )
-        assert owner._late.on_its_way_s == 0.0
-        assert owner._late.unanswered_until > 0.0
+        assert owner._unacknowledged.in_flight_s == 0.0
+        assert owner._unacknowledged.unanswered_until > 0.0
         assert (await loading).is_err()
         await draining
--- a/hawthornlead/tests/test_gateways.py
+++ b/hawthornlead/tests/test_gateways.py
@@ -290,7 +290,7 @@
             async def no_report():
                 return False
 
-            owner._orders.take_accepted(None)
+            owner._orders.set_accepted(None)
             owner._resync = no_report
         answer = await deployment.ask("/stream/x", Model=f"{MODEL}/a9")
         assert answer.status == 503
--- a/hawthornlead/tests/test_holding_announcements.py
+++ b/hawthornlead/tests/test_holding_announcements.py
@@ -5,8 +5,8 @@
 import pytest
 
 from hawthornlead.gateway.holding_announcements import (
-    GATHER_S,
-    RETELL_S,
+    GATHER_INTERVAL_S,
+    REANNOUNCE_INTERVAL_S,
     HoldingAnnouncements,
 )
 from hawthornlead.messages import TargetHoldings
@@ -16,7 +16,7 @@
 
 PLACES = {"gijon": 10, "bilbao": 10, "santander": 9}
 # A word waits at its VM and at two heads.
-TOLD_S = 3 * GATHER_S + 0.01
+TOLD_S = 3 * GATHER_INTERVAL_S + 0.01
 
 
 def holds(target, *names, number=1):
@@ -35,8 +35,8 @@
         self.words = HoldingAnnouncements(
             mesh=mesh,
             timers=fleet.timers,
-            own=lambda: tuple(self.owned),
-            on_told=self._note,
+            own_holdings=lambda: tuple(self.owned),
+            on_holdings=self._note,
         )
         mesh.on_fed = self.words.announce_all
         self.words.start()
@@ -115,7 +115,7 @@
     """
     owner = large.vms["gijon-2"]
     owner.owned.append(holds("e1", "a1"))
-    await large.fleet.settle(RETELL_S + TOLD_S + GATHER_S)
+    await large.fleet.settle(REANNOUNCE_INTERVAL_S + TOLD_S + GATHER_INTERVAL_S)
     for vm in large.others("gijon-2"):
         assert vm.told["e1"][0] == "gijon-2"
 
--- a/hawthornlead/tests/test_load_announcements.py
+++ b/hawthornlead/tests/test_load_announcements.py
@@ -3,13 +3,13 @@
 import pytest
 
 from hawthornlead.gateway.engine_slots import AdapterKey
-from hawthornlead.gateway.load_announcements import GATHER_S, GATHERED_STEPS
+from hawthornlead.gateway.load_announcements import GATHER_HOPS, GATHER_INTERVAL_S
 
 from .fakes_fleets import FakeFleet, let_run
 
 KEY = AdapterKey("tide", "a1")
 PLACES = {"gijon": 10, "bilbao": 10, "santander": 9}
-TOLD_S = GATHERED_STEPS * GATHER_S
+TOLD_S = GATHER_HOPS * GATHER_INTERVAL_S
 
 
 @pytest.fixture
@@ -96,7 +96,7 @@
 async def test_a_vm_of_a_large_fleet_takes_few_messages(large):
     for vm in large.vms.values():
         vm.heard.clear()
-    await large.settle(10 * GATHER_S)
+    await large.settle(10 * GATHER_INTERVAL_S)
     assert max(vm.heard.total() for vm in others(large).values()) <= 11
     # A head hears the VMs of its own data centre and the other heads.
     most = 11 * (max(PLACES.values()) + 2 * len(PLACES))
--- a/hawthornlead/tests/test_owner_objects.py
+++ b/hawthornlead/tests/test_owner_objects.py
@@ -162,7 +162,7 @@
     """
     fleet = await two_with_leases()
     assert await fleet.a.ownerships.claim("e1")
-    fleet.a.ownerships.note_order("e1")
+    fleet.a.ownerships.record_order("e1")
     await fleet.a.ownerships.release("e1")
     assert await fleet.b.ownerships.claim("e1")
     fleet.pass_time(1.0)
@@ -176,7 +176,7 @@
     """The same, where the successor is killed: its next process gives nothing back."""
     fleet = await two_with_leases()
     assert await fleet.a.ownerships.claim("e1")
-    fleet.a.ownerships.note_order("e1")
+    fleet.a.ownerships.record_order("e1")
     await fleet.a.ownerships.release("e1")
     fleet.pass_time(0.1)
     assert await fleet.b.ownerships.claim("e1")
@@ -206,7 +206,7 @@
     """The same, where what the object told of former owners was lost in between."""
     fleet = await two_with_leases()
     assert await fleet.a.ownerships.claim("e1")
-    fleet.a.ownerships.note_order("e1")
+    fleet.a.ownerships.record_order("e1")
     fleet.store.overwrite(OWNERS_KIND, "e1", "scrambled")
     assert await fleet.b.ownerships.claim("e1")
     fleet.pass_time(1.0)
@@ -217,7 +217,7 @@
 async def test_a_former_owner_need_not_wait_once_its_orders_are_old():
     fleet = await two_with_leases()
     assert await fleet.a.ownerships.claim("e1")
-    fleet.a.ownerships.note_order("e1")
+    fleet.a.ownerships.record_order("e1")
     await fleet.a.ownerships.release("e1")
     assert await fleet.b.ownerships.claim("e1")
     fleet.pass_time(4.0)
--- a/hawthornlead/tests/test_slot_queues.py
+++ b/hawthornlead/tests/test_slot_queues.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from hawthornlead.gateway.engine_slots import AdapterKey
-from hawthornlead.gateway.slot_queues import START_EVERY_S, SlotQueue, SlotRequest
+from hawthornlead.gateway.slot_queues import INITIAL_INTERVAL_S, SlotQueue, SlotRequest
 
 
 def wanted(name, rank=1, due_at=10.0, until=10.0):
@@ -19,7 +19,7 @@
         first = next(each for each in waiting if queue.is_next(each.key, now))
         names.append(first.key.adapter)
         for each in [each for each in waiting if each.key == first.key]:
-            queue.leave(each)
+            queue.remove(each)
             waiting.remove(each)
     return names
 
@@ -31,9 +31,9 @@
     to whoever asked at the right moment.
     """
     queue = SlotQueue()
-    queue.enter(wanted("note", rank=1, due_at=5.0))
-    queue.enter(wanted("guide", rank=0, due_at=6.0))
-    queue.enter(wanted("early-note", rank=1, due_at=4.0))
+    queue.add(wanted("note", rank=1, due_at=5.0))
+    queue.add(wanted("guide", rank=0, due_at=6.0))
+    queue.add(wanted("early-note", rank=1, due_at=4.0))
     assert served(queue, now=1.0) == ["guide", "early-note", "note"]
 
 
@@ -44,34 +44,34 @@
     those that came after them, which were then late as well.
     """
     queue = SlotQueue()
-    queue.enter(wanted("late", rank=0, due_at=1.0))
-    queue.enter(wanted("in-time", rank=1, due_at=3.0))
+    queue.add(wanted("late", rank=0, due_at=1.0))
+    queue.add(wanted("in-time", rank=1, due_at=3.0))
     assert served(queue, now=2.0) == ["in-time", "late"]
 
 
 def test_requests_for_one_adapter_count_once():
     queue = SlotQueue()
     for _ in range(3):
-        queue.enter(wanted("a1", due_at=4.0))
-    assert queue.expected_wait(wanted("a2"), now=1.0) == 2 * START_EVERY_S
-    assert queue.expected_wait(wanted("a1"), now=1.0) == START_EVERY_S
+        queue.add(wanted("a1", due_at=4.0))
+    assert queue.expected_wait(wanted("a2"), now=1.0) == 2 * INITIAL_INTERVAL_S
+    assert queue.expected_wait(wanted("a1"), now=1.0) == INITIAL_INTERVAL_S
 
 
 def test_the_expected_wait_follows_the_pace_at_which_slots_come_free():
     queue = SlotQueue()
     for taken in range(20):
-        queue.note_taken(taken / 10)
+        queue.record_taken(taken / 10)
     assert queue.expected_wait(wanted("a1"), now=1.95) == 0.1
     slow = SlotQueue()
-    slow.note_taken(0.0)
-    assert slow.expected_wait(wanted("a1"), now=1.0) > START_EVERY_S
+    slow.record_taken(0.0)
+    assert slow.expected_wait(wanted("a1"), now=1.0) > INITIAL_INTERVAL_S
 
 
 @given(st.lists(st.tuples(st.integers(0, 2), st.floats(0, 9)), max_size=12))
 def test_an_empty_queue_is_left_and_each_request_is_next_once(requests):
     queue = SlotQueue()
     for number, (rank, due_at) in enumerate(requests):
-        queue.enter(wanted(f"a{number}", rank, due_at))
+        queue.add(wanted(f"a{number}", rank, due_at))
     names = served(queue, now=5.0)
     assert len(names) == len(requests) == len(set(names))
     assert len(queue) == 0
--- a/hawthornlead/tests/test_unacknowledged_orders.py
+++ b/hawthornlead/tests/test_unacknowledged_orders.py
@@ -9,7 +9,7 @@
 from hawthornlead.gateway.engine_slots import AdapterKey
 from hawthornlead.gateway.records import OrderKind, OrderOutcome
 from hawthornlead.gateway.unacknowledged_orders import (
-    LATE_ORDER_S,
+    MAX_ORDER_DELAY_S,
     UnacknowledgedOrders,
 )
 from hawthornlead.timers import ManualTimerService
@@ -113,13 +113,13 @@
     bed.owner.stop()
     refused = await asking
     assert refused.err_value.kind is ErrorKind.NO_GRANT
-    assert bed.owner.unanswered_until > bed.timers.now() + LATE_ORDER_S - 1
+    assert bed.owner.unanswered_until > bed.timers.now() + MAX_ORDER_DELAY_S - 1
 
 
 async def test_a_report_of_a_later_start_ends_what_is_believed(bed):
     assert (await bed.load("a1")).is_ok()
     bed.engine.restart()
-    bed.owner.missing(KEY)
+    bed.owner.on_adapter_missing(KEY)
     await bed.until(lambda: bed.restarts)
     assert set(bed.restarts) == {bed.engine.started_ms}
 
@@ -133,8 +133,8 @@
     before = await bed.engine.report("", "e1")
     await bed.restart()
     bed.engine.report = lambda address, target: _answer(before)
-    bed.owner.missing(KEY)
-    bed.owner._orders.take_accepted(None)
+    bed.owner.on_adapter_missing(KEY)
+    bed.owner._orders.set_accepted(None)
     await asyncio.sleep(0.2)
     assert not bed.owner.known
     assert not bed.owner.slots.slots
@@ -159,10 +159,10 @@
     untold, monkeypatch
 ):
     """All loads of an engine are refused for good, or go by what it no longer holds."""
-    monkeypatch.setattr(engine_reports, "SURELY_SHOWN_S", 0.1)
+    monkeypatch.setattr(engine_reports, "MAX_REPORT_DELAY_S", 0.1)
     await fill(untold, "a", 3)
     untold.engine.restart()
-    untold.owner.missing(AdapterKey("tide", "a1"))
+    untold.owner.on_adapter_missing(AdapterKey("tide", "a1"))
     await untold.until(lambda: untold.restarts)
     assert set(untold.restarts) == {None}
 
@@ -176,7 +176,7 @@
     await fill(untold, "a", 2)
     fresh = untold.engine.report
     untold.engine.report = lambda address, target: _answer(before)
-    untold.owner.missing(AdapterKey("tide", "a1"))
+    untold.owner.on_adapter_missing(AdapterKey("tide", "a1"))
     await asyncio.sleep(0.2)
     assert not untold.restarts
     untold.engine.report = fresh
@@ -192,14 +192,14 @@
     """
     timers = ManualTimerService()
     timers._now = 100.0
-    until = timers.now() + LATE_ORDER_S
+    until = timers.now() + MAX_ORDER_DELAY_S
     old = UnacknowledgedOrders(timers=timers, since=50.0, unanswered_until=until)
     young = UnacknowledgedOrders(timers=timers, since=98.0, unanswered_until=until)
     answered = UnacknowledgedOrders(timers=timers, since=98.0)
     assert [each.spare_slots for each in (old, young, answered)] == [0, 1, 0]
     # A restart that is seen next inherits what may still come of the claim.
     assert old.unanswered_until == until
-    timers._now = 98.0 + LATE_ORDER_S
+    timers._now = 98.0 + MAX_ORDER_DELAY_S
     assert young.spare_slots == 0
 
 
@@ -207,7 +207,7 @@
     timers = ManualTimerService()
     timers._now = 100.0
     late = UnacknowledgedOrders(timers=timers)
-    late.sent()
-    late.sent()
-    late.answered()
-    assert late.unanswered_until == 100.0 + LATE_ORDER_S
+    late.on_sent()
+    late.on_sent()
+    late.on_answered()
+    assert late.unanswered_until == 100.0 + MAX_ORDER_DELAY_S
