--- a/hawthornlead/gateway/engine_managers.py
+++ b/hawthornlead/gateway/engine_managers.py
@@ -114,7 +114,7 @@
         targets.subscribe(
             lambda lost, _: self._holding_announcements.discard(lost.target)
         )
-        mesh.on_fed = self._holding_announcements.announce_all
+        mesh.on_subscribed = self._holding_announcements.announce_all
         mesh.on(LoadAdapter, self._on_load)
         mesh.on(ReservePrompt, self._on_reserve)
         mesh.on(AdapterMissing, self._on_missing)
--- a/hawthornlead/gateway/holding_announcements.py
+++ b/hawthornlead/gateway/holding_announcements.py
@@ -98,7 +98,7 @@
 
     async def _forward_after_delay(self) -> None:
         await self._timers.sleep(GATHER_INTERVAL_S)
-        while not self._mesh.is_head and not self._mesh.feed:
+        while not self._mesh.is_head and not self._mesh.upstream_head:
             await self._timers.sleep(GATHER_INTERVAL_S)
         self._forward()
 
@@ -108,18 +108,18 @@
         gathered = GatheredHoldings(tuple(for_all.values()))
         if not self._mesh.is_head:
             if for_all:
-                self._mesh.cast_to((self._mesh.feed,), gathered)
+                self._mesh.cast_to((self._mesh.upstream_head,), gathered)
             return
         if for_all:
             self._mesh.cast_to(self._mesh.other_heads, gathered)
         both = GatheredHoldings((*for_subscribers.values(), *for_all.values()))
-        self._mesh.cast_to(self._mesh.attachments.fed, both)
+        self._mesh.cast_to(self._mesh.subscribers.subscribed, both)
 
     async def _on_direct(self, sender, message: TargetHoldings) -> None:
         self._on_holdings(sender.vm, message)
 
     async def _on_gathered(self, sender, message: GatheredHoldings) -> None:
-        from_subscriber = sender.vm in self._mesh.attachments.all
+        from_subscriber = sender.vm in self._mesh.subscribers.all
         forwards = self._mesh.is_head
         for update in message.words:
             if update.vm == self._mesh.vm:
--- a/hawthornlead/gateway/load_announcements.py
+++ b/hawthornlead/gateway/load_announcements.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 
 from ..decisions.quotas import QuotaLedger
-from ..fleet.attachments import NOTHING_TOLD, Attachment
 from ..fleet.fleet_meshes import FleetMesh
+from ..fleet.head_subscribers import NO_SERIAL, HeadSubscriber
 from ..messages.fleets import (
     FleetUpdate,
     GroupUpdate,
@@ -117,7 +117,7 @@
         if not self._mesh.is_head:
             self._announce_to_heads(state, update)
             return
-        self._mesh.table.note(state)
+        self._mesh.table.apply(state)
         self._count_quotas()
         own = MemberLoads(state, update.loads, self._quotas.collect_uses())
         self._store_subscriber_loads(own)
@@ -126,19 +126,19 @@
 
     def _count_quotas(self) -> None:
         """Count quotas from the announcements of all VMs, if the VMs are known."""
-        if self._memberships.roster.count:
+        if self._memberships.registered_order.count:
             self._quotas.mark_counting_locally()
 
     def _announce_to_heads(self, state: MemberState, update: VmLoads) -> None:
         """Announce to the heads of this data centre, one of them the upstream head."""
-        feed, serial = self._mesh.feed, self._mesh.fed_serial
+        upstream, serial = self._mesh.upstream_head, self._mesh.upstream_serial
         owned = self._owned()
-        for head in self._mesh.links.near:
-            if head == feed:
+        for head in self._mesh.links.local_heads:
+            if head == upstream:
                 uses = self._quotas.collect_uses()
                 message = MemberUpdate(state, True, serial, owned, update.loads, uses)
             else:
-                message = MemberUpdate(state, False, NOTHING_TOLD, (), ())
+                message = MemberUpdate(state, False, NO_SERIAL, (), ())
             self._mesh.cast_to((head,), message)
 
     # What a head does
@@ -147,12 +147,12 @@
         """Report each subscriber once that has fallen silent."""
         silent_after = self._timers.now() - SILENCE_TIMEOUT_S
         table = self._mesh.table
-        for vm, attachment in self._mesh.attachments.all.items():
+        for vm, subscriber in self._mesh.subscribers.all.items():
             # It may be subscribed to another head by now.
-            if not attachment.fed or table.told_at(vm) >= silent_after:
+            if not subscriber.subscribed or table.last_reported_at(vm) >= silent_after:
                 continue
             state = table.states[vm]._replace(silent=True)
-            if table.note(state):
+            if table.apply(state):
                 self._store_subscriber_loads(MemberLoads(state, ()))
 
     def _store_subscriber_loads(self, loads: MemberLoads) -> None:
@@ -176,60 +176,64 @@
         self._mesh.cast_to(
             self._mesh.other_heads, GroupUpdate(tuple(subscriber_loads.values()))
         )
-        attached = self._mesh.attachments.all
-        if not attached:
+        subscribers = self._mesh.subscribers.all
+        if not subscribers:
             return
         running = self._loads.totals()
-        self._forward_changes(attached, running)
-        for vm, attachment in attached.items():
-            if attachment.fed and attachment.owned:
-                self._forward_uses(vm, attachment, all_loads)
+        self._forward_changes(subscribers, running)
+        for vm, subscriber in subscribers.items():
+            if subscriber.subscribed and subscriber.owned:
+                self._forward_uses(vm, subscriber, all_loads)
 
     def _forward_changes(
-        self, attached: dict[str, Attachment], running: tuple[TargetRunning, ...]
+        self, subscribers: dict[str, HeadSubscriber], running: tuple[TargetRunning, ...]
     ) -> None:
         """Send subscribers the changed members and the totals of all targets."""
         table = self._mesh.table
         since, serial = self._announced_serial, table.serial
         self._announced_serial = serial
         up_to_date, behind = [], []
-        for vm, attachment in attached.items():
-            if not attachment.fed:
+        for vm, subscriber in subscribers.items():
+            if not subscriber.subscribed:
                 continue
-            (up_to_date if attachment.serial == since else behind).append(vm)
-            attachment.serial = serial
+            (up_to_date if subscriber.serial == since else behind).append(vm)
+            subscriber.serial = serial
         states, share = self._quotas.states(), self._memberships.heard_share
         quotas = (states, share) if states else ()
-        changes = FleetUpdate(since, serial, table.since(since), running, *quotas)
+        changes = FleetUpdate(
+            since, serial, table.changes_since(since), running, *quotas
+        )
         self._mesh.cast_to(up_to_date, changes)
         if behind:
-            living = table.living()
-            whole = FleetUpdate(NOTHING_TOLD, serial, living, running, *quotas)
+            living = table.live()
+            whole = FleetUpdate(NO_SERIAL, serial, living, running, *quotas)
             self._mesh.cast_to(behind, whole)
 
     def _forward_uses(
-        self, vm: str, attachment: Attachment, all_loads: dict[str, MemberLoads]
+        self, vm: str, subscriber: HeadSubscriber, all_loads: dict[str, MemberLoads]
     ) -> None:
         """Send a VM the requests that use adapters of the targets that it orders."""
         forwarded = []
         using = set()
         for other, update in all_loads.items():
-            loads = _on_targets(update.loads, attachment.owned)
+            loads = _on_targets(update.loads, subscriber.owned)
             if loads:
                 using.add(other)
-            if loads or other in attachment.told_of:
+            if loads or other in subscriber.forwarded_vms:
                 forwarded.append(ForwardedLoads(other, loads))
-        attachment.told_of = (attachment.told_of - set(all_loads)) | using
+        subscriber.forwarded_vms = (subscriber.forwarded_vms - set(all_loads)) | using
         if forwarded:
             self._mesh.cast_to((vm,), GatheredLoads(tuple(forwarded)))
 
     async def _on_member_update(self, sender, message: MemberUpdate) -> None:
         """Apply the update of a VM that has chosen this one as a head."""
         vm = sender.vm
-        attachments = self._mesh.attachments
-        is_new = attachments.note(vm, message.fed, message.owned, message.serial)
-        changed = self._mesh.table.note(message.state)
-        if not message.fed:
+        subscribers = self._mesh.subscribers
+        is_new = subscribers.apply_update(
+            vm, message.subscribed, message.owned, message.serial
+        )
+        changed = self._mesh.table.apply(message.state)
+        if not message.subscribed:
             return
         self._store_subscriber_loads(
             MemberLoads(message.state, message.loads, message.quotas)
@@ -237,7 +241,7 @@
         self._quotas.apply_uses(message.quotas)
         self._apply(vm, VmLoads(message.loads))
         if is_new:
-            self._mesh.on_fed(vm)
+            self._mesh.on_subscribed(vm)
         if changed or is_new or self._has_unannounced_surge():
             self._forward_soon()
 
@@ -247,7 +251,7 @@
 
     async def _on_group_update(self, sender, message: GroupUpdate) -> None:
         """Apply another head's updates of its subscribers."""
-        self._mesh.attachments.note_head(sender.vm)
+        self._mesh.subscribers.mark_head(sender.vm)
         if not self._mesh.is_head:
             # Only the upstream head sends it members, with consecutive serials.
             return
@@ -256,7 +260,7 @@
             vm = member.state.vm
             if vm == self._mesh.vm:
                 continue
-            changed |= self._mesh.table.note(member.state)
+            changed |= self._mesh.table.apply(member.state)
             self._quotas.apply_uses(member.quotas)
             if not member.state.silent:
                 self._all_loads[vm] = member
@@ -278,22 +282,22 @@
 
     async def _on_fleet_update(self, sender, message: FleetUpdate) -> None:
         """Apply a head's update of members and targets."""
-        if sender.vm != self._mesh.feed:
+        if sender.vm != self._mesh.upstream_head:
             return
         self._loads.apply_totals(message.running)
         self._quotas.apply_states(message.quotas, message.quota_share)
         table = self._mesh.table
-        if message.since == NOTHING_TOLD:
-            table.replace(message.members)
-        elif message.since == self._mesh.fed_serial:
+        if message.since == NO_SERIAL:
+            table.replace_all(message.members)
+        elif message.since == self._mesh.upstream_serial:
             for state in message.members:
-                table.note(state)
+                table.apply(state)
         else:
             # Changes in between were lost with a connection. This requests all members.
-            self._mesh.fed_serial = NOTHING_TOLD
+            self._mesh.upstream_serial = NO_SERIAL
             return
-        table.confirm()
-        self._mesh.fed_serial = message.serial
+        table.confirm_all()
+        self._mesh.upstream_serial = message.serial
 
     async def _on_loads(self, sender, message: VmLoads) -> None:
         self._quotas.apply_uses(message.quotas)
--- a/hawthornlead/tests/fakes_worlds.py
+++ b/hawthornlead/tests/fakes_worlds.py
@@ -1,7 +1,7 @@
-"""A few VMs with one target in one process, on clocks that are moved by hand.
+"""A few VMs with one target in one process, on manual clocks.
 
-VMs can be frozen (their tasks neither send nor hear, and wake with the clock far
-on), killed, and cut from one another; ownership is handed over by the test.
+VMs can be frozen (their tasks neither send nor receive, and their clock jumps when they
+wake), killed, and cut off from each other. The test assigns ownership.
 """
 
 import asyncio
@@ -48,7 +48,7 @@
 
 
 class FakeOwnership(NamedTuple):
-    """A resource that a VM owns."""
+    """One VM's ownership of a resource."""
 
     resource: str
     fence: int
@@ -72,25 +72,25 @@
         self.records = records
         self.ownerships = {}
         self.rights = {}
-        self.taken = []
-        self.lost = []
+        self.taken_callbacks = []
+        self.lost_callbacks = []
 
     def request(self, resource, data_centre):
-        """Take nothing by itself."""
+        """Do nothing; the test assigns ownership."""
 
     def withdraw(self, resource):
-        """Give nothing back by itself."""
+        """Do nothing; the test assigns ownership."""
 
     def on_taken(self, callback):
         """Call back with ownerships."""
-        self.taken.append(callback)
+        self.taken_callbacks.append(callback)
 
     def set_open_order_check(self, has_open_order):
-        """Give nothing back by itself."""
+        """Do nothing; this fake never releases a resource by itself."""
 
     def on_lost(self, callback):
         """Call back with resources."""
-        self.lost.append(callback)
+        self.lost_callbacks.append(callback)
 
     def owner_of(self, resource):
         """The newest record."""
@@ -108,7 +108,7 @@
 
 
 class FakeMesh:
-    """One VM's mesh; the world carries its messages."""
+    """One VM's mesh; the world delivers its messages."""
 
     def __init__(self, world, vm):
         self._world = world
@@ -126,7 +126,7 @@
         return self._world.connected(self.vm)
 
     def on(self, message_type, handler):
-        """Enter a handler."""
+        """Set the handler of a message type."""
         self.handlers[message_type] = handler
 
     async def answer(self, sender, message):
@@ -135,11 +135,11 @@
 
     async def call(self, vm, message, timeout_s=2.0):
         """Send and wait for the reply."""
-        return await self._world.carry(self.vm, vm, message, timeout_s)
+        return await self._world.deliver(self.vm, vm, message, timeout_s)
 
     def cast(self, vm, message):
         """Send without a reply."""
-        self._world.spawn(self._world.carry(self.vm, vm, message, 1e9))
+        self._world.spawn(self._world.deliver(self.vm, vm, message, 1e9))
         return True
 
     def broadcast(self, message):
@@ -150,14 +150,14 @@
 
 
 class VmTimers(ManualTimerService):
-    """Timers whose periodic calls run in tasks of their own.
+    """Timers whose periodic calls run in their own tasks.
 
-    A renewal waits for the reply of a frozen VM until its timeout; were the clock
-    to wait for the renewal, that timeout would never come.
+    A renewal waits for the reply of a frozen VM until its timeout. If the clock waited
+    for the renewal, that timeout would never come.
     """
 
     def every(self, interval, callback, name):
-        """Call back every ``interval`` seconds, never two at once."""
+        """Call back every ``interval`` seconds, unless the last call still runs."""
         running = []
 
         def call():
@@ -257,22 +257,22 @@
             if name != vm and not other.dead and frozenset((name, vm)) not in self.cuts
         )
 
-    async def carry(self, sender, vm, message, timeout_s):
-        """Carry a message there and its reply back."""
-        away = Err(Failure(ErrorKind.PEER_UNAVAILABLE, f"{vm} is away"))
+    async def deliver(self, sender, vm, message, timeout_s):
+        """Deliver a message and return its reply."""
+        unavailable = Err(Failure(ErrorKind.PEER_UNAVAILABLE, f"{vm} is away"))
         source, other = self.vms[sender], self.vms[vm]
         await source.awake.wait()
         if source.dead or other.dead or frozenset((sender, vm)) in self.cuts:
-            return away
+            return unavailable
         handling = self.spawn(self._handle(source, other, message))
-        over = asyncio.Event()
-        source.timers.after(timeout_s, over.set, name="call")
-        waiting = asyncio.ensure_future(over.wait())
+        timed_out = asyncio.Event()
+        source.timers.after(timeout_s, timed_out.set, name="call")
+        waiting = asyncio.ensure_future(timed_out.wait())
         await asyncio.wait({handling, waiting}, return_when="FIRST_COMPLETED")
         waiting.cancel()
         await source.awake.wait()
         if not handling.done() or frozenset((sender, vm)) in self.cuts:
-            return away
+            return unavailable
         return handling.result()
 
     async def _handle(self, source, other, message):
@@ -286,8 +286,8 @@
             return Err(Failure(kind, reply.detail, reply.retry_after_s))
         return Ok(reply)
 
-    def give(self, vm, resource=TARGET, *, stopped=False, old_right=OrderRight.NONE):
-        """Let ``vm`` take a resource; ``old_right`` is what its predecessor believes.
+    def assign(self, vm, resource=TARGET, *, stopped=False, old_right=OrderRight.NONE):
+        """Let ``vm`` own a resource; its predecessor keeps ``old_right``.
 
         ``stopped`` says that the predecessor is proved to have stopped.
         """
@@ -299,29 +299,36 @@
             if old_right is OrderRight.NONE:
                 old.ownerships.pop(resource, None)
                 if not self.vms[before].dead and self.vms[before].awake.is_set():
-                    for callback in old.lost:
+                    for callback in old.lost_callbacks:
                         callback(resource)
             else:
                 old.rights[resource] = old_right
         self.records[resource] = FakeOwnerRecord(vm, vm, fence)
-        taker = self.vms[vm]
-        now = taker.timers.now()
-        # As real owners do, it waits out the orders of its predecessor.
-        ends_at = now + self.settings["ORDER_S"] * 1.03 if before else now
+        new_owner = self.vms[vm]
+        now = new_owner.timers.now()
+        # Like real owners, it waits for the end of its predecessor's orders.
+        predecessor_orders_end_at = (
+            now + self.settings["ORDER_S"] * 1.03 if before else now
+        )
         ownership = FakeOwnership(
-            resource, fence, now, before, stopped or not before, ends_at
+            resource,
+            fence,
+            now,
+            before,
+            stopped or not before,
+            predecessor_orders_end_at,
         )
-        taker.owners.ownerships[resource] = ownership
-        taker.owners.rights[resource] = OrderRight.FULL
-        for callback in taker.owners.taken:
+        new_owner.owners.ownerships[resource] = ownership
+        new_owner.owners.rights[resource] = OrderRight.FULL
+        for callback in new_owner.owners.taken_callbacks:
             callback(ownership)
 
     def degrade(self, vm, resource=TARGET):
-        """Let the lease of an owner lapse, unknown whether others see it too."""
+        """Let the lease of an owner lapse in an outage."""
         self.vms[vm].owners.rights[resource] = OrderRight.DEGRADED
 
     async def advance(self, seconds):
-        """Move all clocks on; a frozen VM's stands until it wakes."""
+        """Advance all clocks but those of frozen VMs."""
         for _ in range(round(seconds / STEP_S)):
             await self.timers.advance(STEP_S)
             for vm in self.vms.values():
@@ -334,7 +341,7 @@
         self.vms[vm].awake.clear()
 
     async def thaw(self, vm):
-        """Wake a VM: its clock is right at once, then its timers run."""
+        """Wake a VM: set its clock, then run its timers."""
         woken = self.vms[vm]
         woken.timers._now = self.timers.now()
         woken.awake.set()
@@ -346,12 +353,12 @@
         self.vms[vm].awake.clear()
 
     def acquire(self, vm, adapter, wait_s=60.0, load=True):
-        """Ask for a grant in a task."""
+        """Acquire a grant in a task."""
         grants = self.vms[vm].grants
         return self.spawn(grants.acquire("engine", Assigned(adapter), wait_s, load))
 
     async def acquired(self, vm, adapter, wait_s=60.0, load=True):
-        """Ask for a grant and move time until it is there or refused."""
+        """Acquire a grant and advance time until it is issued or refused."""
         task = self.acquire(vm, adapter, wait_s, load)
         for _ in range(round(wait_s / STEP_S) + 60):
             if task.done():
@@ -360,7 +367,7 @@
         return task.result()
 
     def send(self, vm, grant, adapter, request_id):
-        """Begin an attempt and send it; True when it runs."""
+        """Start an attempt and send it; True when it runs."""
         if grant.start(request_id).is_err():
             return False
         if self.engine.start(request_id, _key(adapter)):
--- a/hawthornlead/tests/test_holding_announcements.py
+++ b/hawthornlead/tests/test_holding_announcements.py
@@ -38,7 +38,7 @@
             own_holdings=lambda: tuple(self.owned),
             on_holdings=self._note,
         )
-        mesh.on_fed = self.words.announce_all
+        mesh.on_subscribed = self.words.announce_all
         self.words.start()
 
     def _note(self, owner, holdings):
--- a/hawthornlead/tests/test_slot_machines.py
+++ b/hawthornlead/tests/test_slot_machines.py
@@ -1,8 +1,8 @@
-"""A state machine over owners, grants and a target, with the target as the judge.
+"""A state machine test of owners and grants, checked by the target's own record.
 
 VMs stream, lose streams, freeze, die and are cut off; owners are replaced with and
 without proof that they stopped; the target restarts, lags and loses replies. The
-target's own record must never show an eviction under a running request.
+target's record must never show an eviction under a running request.
 """
 
 import asyncio
@@ -63,8 +63,8 @@
 
     async def _build(self, fencing, slots):
         self.world = World(VMS, fencing=fencing, slots=slots)
-        self.world.give("a", ALLOWANCE)
-        self.world.give("a")
+        self.world.assign("a", ALLOWANCE)
+        self.world.assign("a")
         await self.world.advance(1.0)
 
     @property
@@ -195,7 +195,7 @@
 
         async def take():
             for resource in (ALLOWANCE, TARGET):
-                self.world.give(vm, resource, stopped=stopped, old_right=right)
+                self.world.assign(vm, resource, stopped=stopped, old_right=right)
             # An owner before the last that was never proved to have stopped.
             owners = self.world.vms[vm].owners
             if self._unproved(vm):
--- a/hawthornlead/tests/test_slots_joined.py
+++ b/hawthornlead/tests/test_slots_joined.py
@@ -1,4 +1,4 @@
-"""Owners, slots and grants together; the stand-ins' own records are the judge."""
+"""Tests of owners, slots and grants together, checked by the stand-ins' records."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 async def build():
-    """Build a fleet, and stop it in the end."""
+    """Build a fleet, and stop it at the end."""
     started = []
 
     async def make(names=("engine",), *, weights=None, settings=(), **faults):
@@ -42,43 +42,43 @@
 
 
 async def _resident(fleet, adapter="tide"):
-    """Have an adapter loaded, and its grant given back again."""
-    asked = fleet.acquire(fleet.others()[0], adapter)
-    await fleet.until(asked.done)
-    assert asked.result().is_ok()
-    del asked
+    """Let an adapter be loaded and its grant be released again."""
+    request = fleet.acquire(fleet.others()[0], adapter)
+    await fleet.until(request.done)
+    assert request.result().is_ok()
+    del request
     await fleet.advance(8)
 
 
 @pytest.mark.parametrize("fencing", [True, False])
 async def test_owner_killed_with_grants_out(build, fencing):
-    """An owner is killed while a VM streams and holds grants, and a load waits.
+    """Guards against an eviction under grants that the successor does not know.
 
-    Its successor knows of no grant. By the target's own record the adapter is never
-    evicted under the stream, nor under a request that begins in the last moment of
-    its grant; the load is made when both have ended.
+    An owner is killed while a VM streams and holds grants, and a load waits. The
+    adapter is not evicted under the stream, nor under a request that starts at the end
+    of its grant. The load is done when both have ended.
     """
     fleet = await build(fencing=fencing, slots=1)
     owner, (holder, other) = fleet.owner(), fleet.others()
-    asked = fleet.acquire(holder, "tide")
+    request = fleet.acquire(holder, "tide")
     late = fleet.acquire(holder, "tide")
-    await fleet.until(lambda: asked.done() and late.done())
-    stream = fleet.send(holder, asked.result().unwrap(), "tide", "r1", 500)
+    await fleet.until(lambda: request.done() and late.done())
+    stream = fleet.send(holder, request.result().unwrap(), "tide", "r1", 500)
     await fleet.advance(1)
     await fleet.kill(owner)
     await fleet.until(lambda: fleet.owner() is not None)
-    wanted = fleet.acquire(other, "lap")
-    last = late.result().unwrap()
-    await fleet.until(lambda: holder.timers.now() > last.ends_at - 0.25)
-    second = fleet.send(holder, last, "tide", "r2", 300)
+    pending = fleet.acquire(other, "lap")
+    last_grant = late.result().unwrap()
+    await fleet.until(lambda: holder.timers.now() > last_grant.ends_at - 0.25)
+    second = fleet.send(holder, last_grant, "tide", "r2", 300)
     await fleet.until(lambda: stream.done() and second.done())
     fleet.check()
     for _ in range(5):
-        await fleet.until(wanted.done)
-        if wanted.result().is_ok():
+        await fleet.until(pending.done)
+        if pending.result().is_ok():
             break
-        wanted = fleet.acquire(other, "lap")
-    assert wanted.result().is_ok()
+        pending = fleet.acquire(other, "lap")
+    assert pending.result().is_ok()
     fleet.check()
     outcomes = {run["id"]: run["outcome"] for run in fleet.engine.record()["runs"]}
     assert outcomes == {"r1": "done", "r2": "done"}
@@ -87,17 +87,17 @@
 @pytest.mark.parametrize("fencing", [True, False])
 @pytest.mark.parametrize("loss", ["killed", "shut down"])
 async def test_eviction_under_way_when_its_owner_goes(build, fencing, loss):
-    """An owner sends an eviction that the target carries out seven seconds later.
+    """Guards against an eviction of a former owner that hits requests.
 
-    Meanwhile the owner is killed or shuts down, and its successor may take over at
-    once. Callers ask for the adapter, which the target still reports as resident.
-    None of their requests may lose it.
+    The target carries out an eviction seven seconds late. Meanwhile its owner is killed
+    or shuts down, and the successor may take over at once. Requests need the adapter,
+    which the target still reports as resident.
     """
     fleet = await build(fencing=fencing, slots=1)
     owner, (holder, _) = fleet.owner(), fleet.others()
     await _resident(fleet)
     fleet.engine.set_faults(order_delay_s=7.0)
-    wanted = fleet.acquire(owner, "lap")
+    pending = fleet.acquire(owner, "lap")
     orders = fleet.engine.book.orders
     await fleet.until(lambda: orders and orders[-1]["op"] == "evict")
     eviction = orders[-1]
@@ -106,17 +106,17 @@
         await fleet.kill(owner)
     else:
         await fleet.shut_down(owner)
-    wanted.cancel()
+    pending.cancel()
     streams = []
     for number in range(60):
         if "ended" in eviction:
             break
-        asked = fleet.acquire(holder, "tide", 2.0, load=False)
-        await fleet.until(asked.done)
-        if asked.result().is_err():
+        request = fleet.acquire(holder, "tide", 2.0, load=False)
+        await fleet.until(request.done)
+        if request.result().is_err():
             await fleet.advance(0.5)
             continue
-        grant = asked.result().ok_value
+        grant = request.result().ok_value
         streams.append(fleet.send(holder, grant, "tide", f"r{number}", 100))
         await fleet.advance(2)
     await fleet.until(lambda: all(stream.done() for stream in streams))
@@ -125,36 +125,36 @@
 
 
 async def test_allowance_through_a_change_of_its_holder(build):
-    """The holder of the weight store's allowance is killed with loads under way.
+    """Guards against too many loads after a change of the allowance's holder.
 
-    Its successor knows of none of them. By the weight store's own record there are
-    never more loads at once than allowed, nor more a second; afterwards all that
-    is wanted gets loaded.
+    The holder is killed with loads under way that its successor does not know of. By
+    the weight store's record neither the concurrent loads nor the rate exceed the
+    allowance, and in the end all adapters are loaded.
     """
     settings = {"LOADS_PER_S": 1.0, "LOADS_AT_ONCE": 2, "LOAD_S": 8.0}
-    # A start is one step of the hand-moved clocks early or late at each hop.
+    # Each hop may shift a start by one step of the manual clocks.
     weights = {"load_s": 5.0, "loads_per_s": 1.0, "at_once": 2, "slack_s": 0.25}
     names = ("engine-1", "engine-2", "engine-3")
     fleet = await build(
         names, weights=weights, settings=settings, fencing=True, slots=8
     )
     holder = fleet.owner(ALLOWANCE)
-    asking = [vm for vm in fleet.vms.values() if vm is not holder][0]
-    wanted = {(name, f"adapter-{n}") for name in names for n in range(2)}
+    requester = [vm for vm in fleet.vms.values() if vm is not holder][0]
+    pending = {(name, f"adapter-{n}") for name in names for n in range(2)}
     tasks = {}
 
-    def ask():
-        for target, adapter in wanted:
+    def request_missing():
+        for target, adapter in pending:
             task = tasks.get((target, adapter))
             if task is None or (task.done() and task.result().is_err()):
-                tasks[target, adapter] = fleet.acquire(asking, adapter, 15.0, target)
+                tasks[target, adapter] = fleet.acquire(requester, adapter, 15.0, target)
 
-    ask()
+    request_missing()
     await fleet.until(lambda: fleet.weights.open == 2)
     await fleet.kill(holder)
     for _ in range(120):
         await fleet.advance(1)
-        ask()
+        request_missing()
         if all(task.done() and task.result().is_ok() for task in tasks.values()):
             break
     record = fleet.weights.record()
