--- a/hawthornlead/engines/grant_ledgers.py
+++ b/hawthornlead/engines/grant_ledgers.py
@@ -24,8 +24,8 @@
     version: str
 
 
-class HeldGrant(NamedTuple):
-    """A grant that a VM holds.
+class IssuedGrant(NamedTuple):
+    """A grant issued to a VM.
 
     ``ends_at`` is on the owner's clock and includes the error of the clocks' rates.
     """
@@ -55,9 +55,9 @@
         self._rng = rng
         self._clock = clock
         self._fence = fence
-        self._held: dict[str, HeldGrant] = {}
+        self._outstanding: dict[str, IssuedGrant] = {}
         # Expired, and no report has proved yet that no request runs under them.
-        self._expired: dict[str, HeldGrant] = {}
+        self._expired: dict[str, IssuedGrant] = {}
         # Earlier owners' grants: the moment by which all have expired, and the
         # adapters that a report after it showed running. None: not known yet.
         self._unknown_end_at: float | None = None
@@ -71,7 +71,7 @@
     @property
     def outstanding(self) -> int:
         """How many grants VMs hold."""
-        return len(self._held)
+        return len(self._outstanding)
 
     @property
     def proof_required_after(self) -> float | None:
@@ -109,12 +109,12 @@
         self._unknown_end_at = moment
         self._unknown_running = None
 
-    def issue(self, vm: str, key: AdapterVersion, count: int) -> HeldGrant:
+    def issue(self, vm: str, key: AdapterVersion, count: int) -> IssuedGrant:
         """Record and return a grant that starts now."""
         grant_id = f"{self._fence}-{self._rng.getrandbits(64):016x}"
         ends_at = self._timers.now() + self.max_lifetime_s()
-        grant = HeldGrant(grant_id, vm, key, count, ends_at)
-        self._held[grant_id] = grant
+        grant = IssuedGrant(grant_id, vm, key, count, ends_at)
+        self._outstanding[grant_id] = grant
         return grant
 
     def renew(self, grant_ids) -> tuple[str, ...]:
@@ -123,46 +123,48 @@
         ends_at = self._timers.now() + self.max_lifetime_s()
         renewed = []
         for grant_id in grant_ids:
-            if grant_id not in self._held:
+            if grant_id not in self._outstanding:
                 continue
-            self._held[grant_id] = self._held[grant_id]._replace(ends_at=ends_at)
+            self._outstanding[grant_id] = self._outstanding[grant_id]._replace(
+                ends_at=ends_at
+            )
             renewed.append(grant_id)
         return tuple(renewed)
 
-    def get(self, grant_id: str) -> HeldGrant | None:
+    def get(self, grant_id: str) -> IssuedGrant | None:
         """Return a grant that was not released, or None."""
-        return self._held.get(grant_id) or self._expired.get(grant_id)
+        return self._outstanding.get(grant_id) or self._expired.get(grant_id)
 
     def release(self, grant_id: str) -> None:
         """Remove a grant whose holder runs nothing under it and never will."""
-        self._held.pop(grant_id, None)
+        self._outstanding.pop(grant_id, None)
         self._expired.pop(grant_id, None)
 
-    def revoke(self, key: AdapterVersion) -> list[HeldGrant]:
+    def revoke(self, key: AdapterVersion) -> list[IssuedGrant]:
         """Mark the grants on an adapter as revoked; return those newly marked."""
         newly_revoked = []
-        for grant in self._held.values():
+        for grant in self._outstanding.values():
             if grant.key != key or grant.revoked:
                 continue
             newly_revoked.append(grant)
         for grant in newly_revoked:
-            self._held[grant.grant_id] = grant._replace(revoked=True)
+            self._outstanding[grant.grant_id] = grant._replace(revoked=True)
         return newly_revoked
 
-    def revoke_all(self) -> list[HeldGrant]:
+    def revoke_all(self) -> list[IssuedGrant]:
         """Mark all grants as revoked; return those newly marked."""
         newly_revoked = []
-        for key in {grant.key for grant in self._held.values()}:
+        for key in {grant.key for grant in self._outstanding.values()}:
             newly_revoked += self.revoke(key)
         return newly_revoked
 
     def sweep(self) -> None:
         """Move expired grants to those that require a proof."""
         now = self._timers.now()
-        for grant in list(self._held.values()):
+        for grant in list(self._outstanding.values()):
             if now < grant.ends_at:
                 continue
-            del self._held[grant.grant_id]
+            del self._outstanding[grant.grant_id]
             self._expired[grant.grant_id] = grant
 
     def observe(self, report: Report) -> None:
@@ -193,11 +195,11 @@
         self.sweep()
         if self._unknown_running is None or key in self._unknown_running:
             return False
-        if any(grant.key == key for grant in self._held.values()):
+        if any(grant.key == key for grant in self._outstanding.values()):
             return False
         return all(grant.key != key for grant in self._expired.values())
 
-    def _arrived_by(self, grant: HeldGrant) -> float:
+    def _arrived_by(self, grant: IssuedGrant) -> float:
         """Return when the last request under an expired grant has arrived."""
         return grant.ends_at + self.max_send_s()
 
--- a/hawthornlead/engines/grants.py
+++ b/hawthornlead/engines/grants.py
@@ -89,8 +89,8 @@
         return self.reply.count - len(self.running) - len(self.reserved)
 
     def drain_started(self) -> int:
-        begun, self.started = max(0, self.started), min(0, self.started)
-        return begun
+        started, self.started = max(0, self.started), min(0, self.started)
+        return started
 
 
 class Grant:
@@ -219,10 +219,10 @@
                 prefetch,
                 slot_wait_s,
             )
-            task = self._request(key, request)
-            if not await wait_done(self._timers, task, remaining_s):
+            pending = self._request(key, request)
+            if not await wait_done(self._timers, pending, remaining_s):
                 return Err(_no_grant("no grant came in time"))
-            outcome = task.result()
+            outcome = pending.result()
             if isinstance(outcome, Err):
                 return outcome
             loaded_s = max(loaded_s, outcome.ok_value.loaded_s)
@@ -285,8 +285,8 @@
         owner = self._owners.owner_of(target_resource(target))
         if owner is not None:
             ids = tuple(held.reply.grant_id for held in in_use)
-            begun = tuple(held.drain_started() for held in in_use)
-            reply = await self._mesh.call(owner.vm, RenewGrants(target, ids, begun))
+            started = tuple(held.drain_started() for held in in_use)
+            reply = await self._mesh.call(owner.vm, RenewGrants(target, ids, started))
             if isinstance(reply, Ok):
                 renewed, ttl_s = reply.ok_value
         for held in in_use:
@@ -329,8 +329,8 @@
         )
         self._pending_requests[kind] = call
 
-        def discard(task):
-            if self._pending_requests.get(kind) is task:
+        def discard(pending):
+            if self._pending_requests.get(kind) is pending:
                 del self._pending_requests[kind]
 
         call.add_done_callback(discard)
--- a/hawthornlead/engines/load_pacers.py
+++ b/hawthornlead/engines/load_pacers.py
@@ -49,8 +49,10 @@
         window_s += START_TOLERANCE_S
         while self._starts and self._starts[0] + 2 * window_s < now:
             self._starts.popleft()
-        out = [self._latest_start(at, now) for at in self._issued_at.values()]
-        starts = sorted([*self._starts, *out])
+        running_starts = [
+            self._latest_start(at, now) for at in self._issued_at.values()
+        ]
+        starts = sorted([*self._starts, *running_starts])
         if len(starts) < loads:
             return 0.0
         return starts[-loads] + window_s - now
--- a/hawthornlead/engines/slot_reclaimers.py
+++ b/hawthornlead/engines/slot_reclaimers.py
@@ -15,7 +15,7 @@
 from ..errors import ErrorKind
 from ..events import EventKind
 from ..waits import Signal
-from .grant_ledgers import AdapterVersion, GrantLedger, HeldGrant
+from .grant_ledgers import AdapterVersion, GrantLedger, IssuedGrant
 from .orders import TargetOrders
 from .owned_targets import Policies
 from .residencies import Residency, Slot, SlotState
@@ -37,7 +37,7 @@
         ledger: GrantLedger,
         residency: Residency,
         changed: Signal,
-        revoke: Callable[[list[HeldGrant]], None],
+        revoke: Callable[[list[IssuedGrant]], None],
     ):
         self._timers = core.timers
         self._events = core.events
@@ -107,8 +107,8 @@
                 candidates.append(slot)
         if draining >= loads:
             return
-        quiet = [slot for slot in candidates if slot.running == 0]
-        slot = self._choose(quiet or candidates)
+        not_running = [slot for slot in candidates if slot.running == 0]
+        slot = self._choose(not_running or candidates)
         if slot is None:
             return
         slot.draining = True
@@ -124,12 +124,12 @@
         if self._residency.free > 0 or not self._orders.may_evict():
             return
         idle = self._idle_slots()
-        quiet = [
+        not_running = [
             slot
             for slot in self._residency.slots()
             if slot.grantable and not slot.awaiting_grant and not slot.running
         ]
-        best = self._choose(idle + [slot for slot in quiet if slot not in idle])
+        best = self._choose(idle + [slot for slot in not_running if slot not in idle])
         if best is None or best in idle:
             return
         best.draining = True
--- a/hawthornlead/engines/slots.py
+++ b/hawthornlead/engines/slots.py
@@ -21,7 +21,7 @@
 from .engine_clocks import EngineClock
 from .evict_guards import EvictGuard
 from .grant_issuers import GrantIssuer, no_grant
-from .grant_ledgers import GrantLedger, HeldGrant
+from .grant_ledgers import GrantLedger, IssuedGrant
 from .load_queues import LoadQueue
 from .loaders import Loader
 from .orders import TargetOrders
@@ -253,7 +253,7 @@
             return Failure(ErrorKind.TARGET_UNREACHABLE, detail)
         return None
 
-    def _revoke(self, grants: list[HeldGrant]) -> None:
+    def _revoke(self, grants: list[IssuedGrant]) -> None:
         for grant in grants:
             self._events.emit(
                 EventKind.GRANT_REVOKED,
--- a/hawthornlead/tests/test_slot_machines.py
+++ b/hawthornlead/tests/test_slot_machines.py
@@ -48,7 +48,7 @@
         super().__init__()
         self.loop = asyncio.new_event_loop()
         self.world = None
-        self.asking = []
+        self.pending = []
         self.granted = []
         self.streams = {}
         self.count = 0
@@ -101,7 +101,7 @@
             return
 
         async def ask():
-            self.asking.append((vm, adapter, self.world.acquire(vm, adapter)))
+            self.pending.append((vm, adapter, self.world.acquire(vm, adapter)))
             await self.world.advance(0.1)
 
         self.run(ask())
@@ -109,13 +109,13 @@
     @rule(seconds=st.sampled_from([1.0, 3.0, 12.0]))
     def pass_time(self, seconds):
         self.run(self.world.advance(seconds))
-        still = []
-        for vm, adapter, task in self.asking:
+        still_pending = []
+        for vm, adapter, task in self.pending:
             if not task.done():
-                still.append((vm, adapter, task))
+                still_pending.append((vm, adapter, task))
             elif task.result().is_ok():
                 self.granted.append((vm, adapter, task.result().ok_value))
-        self.asking = still
+        self.pending = still_pending
 
     @precondition(lambda self: self.granted)
     @rule(data=st.data())
@@ -136,7 +136,7 @@
     @precondition(lambda self: self.streams)
     @rule(data=st.data(), whole=st.booleans())
     def end_stream(self, data, whole):
-        """A stream ends whole, or its VM gives it up while the target runs it."""
+        """A stream ends, or its VM abandons it while the target still runs it."""
         name = data.draw(st.sampled_from(sorted(self.streams)))
         vm, grant = self.streams[name]
 
@@ -151,7 +151,7 @@
 
     @rule(fault=st.sampled_from(FAULTS), vm=vms, other=vms)
     def fault(self, fault, vm, other):
-        """One of the faults; most steps are work, so that faults meet some."""
+        """Inject one fault; most steps are requests, so that faults affect some."""
         getattr(self, fault)(vm, other)
 
     def freeze_or_thaw(self, vm, other):
@@ -169,16 +169,16 @@
             self.world.cuts ^= {frozenset((vm, other))}
 
     def kill(self, vm, other):
-        """One VM dies at most, so that the history goes on."""
+        """Kill a VM, but only one, so that the history goes on."""
         if not any(each.dead for each in self.world.vms.values()):
             self.world.kill(vm)
 
     def proved_take_over(self, vm, other):
-        """A successor has proof that its predecessor stopped."""
+        """Another VM takes over with proof that its predecessor stopped."""
         self.take_over(vm, True)
 
     def unproved_take_over(self, vm, other):
-        """A successor has none."""
+        """Another VM takes over without such a proof."""
         self.take_over(vm, False)
 
     def take_over(self, vm, proved):
@@ -216,12 +216,12 @@
             owners.rights[TARGET] = OrderRight.FULL
 
     def restart_target(self, vm, other):
-        """The target loses its runs, its slots and the fences it saw."""
+        """The target restarts and loses its runs, its slots and fencing numbers."""
         self.world.engine.restart()
         self.streams.clear()
 
     def lag(self, vm, other):
-        """Reports begin to lag, or stop lagging."""
+        """Reports start to lag, or stop lagging."""
         engine = self.world.engine
         engine.report_lag_s = 2.0 - engine.report_lag_s
 
