--- a/hawthornlead/__main__.py
+++ b/hawthornlead/__main__.py
@@ -1,4 +1,4 @@
-"""Run the command line by ``python -m hawthornlead``, also inside the one binary."""
+"""Runs the command line as ``python -m hawthornlead``, also in the single binary."""
 
 import sys
 
--- a/hawthornlead/file_settings.py
+++ b/hawthornlead/file_settings.py
@@ -1,4 +1,4 @@
-"""The settings of a command: read from its file, or all errors told at once."""
+"""Reads the settings file of a command, or prints all its errors and exits."""
 
 import sys
 
--- a/hawthornlead/setting_rows.py
+++ b/hawthornlead/setting_rows.py
@@ -1,7 +1,7 @@
 """The table of all settings: section, kind, default and bounds of each.
 
-A new setting is one row here. ``settings`` reads files by this table and checks
-what was read::
+A new setting is one row here. The module ``settings`` reads and checks files by this
+table::
 
     SETTINGS["LEASE_S"].default
 """
@@ -10,11 +10,10 @@
 
 
 class Setting(NamedTuple):
-    """One row of the table: where it stands, its default, how it is read.
+    """One row of the table: the section, default, kind and description of a setting.
 
-    ``kind`` names a reader in ``settings.READERS``; ``text`` says what it is
-    for, in the reference page too. ``low`` and ``high`` bound numbers,
-    both included.
+    ``kind`` names a reader in ``settings.READERS``. ``text`` says what the setting is
+    for, also in the reference page. ``low`` and ``high`` bound numbers, both included.
     """
 
     section: str
@@ -27,7 +26,7 @@
 
 
 # The INI key is the name in lower case, in the section that the row names.
-# Free sections hold any key: [operators] name = public key.
+# Free sections may have any key, such as an operator's name in [operators].
 FREE_SECTIONS = {"operators": "OPERATORS"}
 
 SETTINGS: dict[str, Setting] = {
@@ -50,13 +49,13 @@
         "vm",
         "optional_address",
         "",
-        "IP:PORT on which `gateway` tells the platform whether it is ready",
+        "IP:PORT on which `gateway` reports its readiness to the platform",
     ),
     "DIRECTORY_ADDRESS": Setting(
         "vm",
         "optional_address",
         "",
-        "IP:PORT on which `gateway` tells callers where to connect",
+        "IP:PORT on which `gateway` answers callers that ask where to connect",
     ),
     # platform
     "GRACE_S": Setting(
@@ -87,18 +86,20 @@
         "lease", "number", 1.5, "seconds between renewals", 0.05, 60
     ),
     "CLOCK_RATE_ERROR": Setting(
-        "lease", "number", 0.01, "largest error of a clock's rate, a share", 0, 0.2
+        "lease", "number", 0.01, "largest relative error of a clock's rate", 0, 0.2
     ),
     "ORDER_S": Setting(
         "lease",
         "number",
         8.0,
-        "longest fence or evict order; successors wait it",
+        "longest fence or evict order; successors wait as long",
         0.1,
         120,
     ),
     # peers
-    "HEARTBEAT_S": Setting("peers", "number", 1.0, "between heartbeats", 0.02, 30),
+    "HEARTBEAT_S": Setting(
+        "peers", "number", 1.0, "seconds between heartbeats", 0.02, 30
+    ),
     "PEER_SILENT_S": Setting(
         "peers", "number", 3.0, "silence after which a connection is dead", 0.1, 60
     ),
@@ -111,10 +112,15 @@
         "bundles", "number", 6.0, "longest wait for acknowledgements", 0.1, 120
     ),
     "DOUBT_S": Setting(
-        "bundles", "number", 3.0, "longest service in doubt of a decision", 0.1, 60
+        "bundles",
+        "number",
+        3.0,
+        "longest service while a roll's decision is unknown",
+        0.1,
+        60,
     ),
     "ISOLATION_S": Setting(
-        "bundles", "number", 5.0, "longest service hearing nobody", 0.1, 120
+        "bundles", "number", 5.0, "longest service without contact to any VM", 0.1, 120
     ),
     # grants
     "GRANT_S": Setting("grants", "number", 10.0, "how long a grant lasts", 0.2, 300),
@@ -130,7 +136,7 @@
         "loads", "number", 6.0, "loads a second that the weight store allows", 0.01, 1e4
     ),
     "LOADS_AT_ONCE": Setting(
-        "loads", "integer", 2, "loads at once at full speed", 1, 1024
+        "loads", "integer", 2, "concurrent loads at full speed", 1, 1024
     ),
     "LOAD_S": Setting("loads", "number", 30.0, "longest load of an adapter", 0.1, 600),
     # policy
@@ -140,26 +146,36 @@
     "LOAD_ORDER": Setting("policy", "name", "deadline", "strategy: order of loads"),
     "POPULARITY": Setting("policy", "name", "decayed", "strategy: popularity"),
     "FAST_HALF_LIFE_S": Setting(
-        "policy", "number", 20.0, "half-life of the count that follows shifts", 1, 86400
+        "policy",
+        "number",
+        20.0,
+        "half-life of the fast count, which follows shifts",
+        1,
+        86400,
     ),
     "SLOW_HALF_LIFE_S": Setting(
-        "policy", "number", 120.0, "half-life of the steady count", 1, 864000
+        "policy", "number", 120.0, "half-life of the slow, steady count", 1, 864000
     ),
     "FAST_WEIGHT": Setting(
         "policy", "number", 0.2, "weight of the fast count beside the slow one", 0, 1
     ),
-    "CHOICES": Setting("policy", "integer", 6, "targets weighed for a load", 1, 1024),
+    "CHOICES": Setting("policy", "integer", 6, "targets compared for a load", 1, 1024),
     "TARGET_FULL": Setting(
-        "policy", "integer", 16, "requests that fill a step, if not told", 1, 4096
+        "policy", "integer", 16, "requests that fill a step, if not reported", 1, 4096
     ),
     "LOAD_BOUND": Setting(
-        "policy", "number", 1.5, "work of a copy, times the mean, at most", 1, 100
+        "policy",
+        "number",
+        1.5,
+        "largest work of a copy, as a multiple of the mean",
+        1,
+        100,
     ),
     "COPY_RATE": Setting(
-        "policy", "number", 4.0, "requests a second that one copy carries", 0.001, 1e4
+        "policy", "number", 4.0, "requests a second that one copy can serve", 0.001, 1e4
     ),
     "COPY_DISCOUNT": Setting(
-        "policy", "number", 0.05, "worth of a copy that has another", 0, 1
+        "policy", "number", 0.05, "value of a copy that has another", 0, 1
     ),
     "STALL_WEIGHT": Setting(
         "policy", "number", 1.0, "weight of load stalls in placement", 0, 100
@@ -171,20 +187,35 @@
         "policy", "number", 0.3, "0: emptier copy first, 1: fuller one", 0, 1
     ),
     "PATIENCE_S": Setting(
-        "policy", "number", 5.0, "after this a load is as urgent as one due", 0, 600
+        "policy", "number", 5.0, "wait after which a load counts as due", 0, 600
     ),
     "PRIORITY_LEAD_S": Setting(
-        "policy", "number", 0.25, "lead of a load per level of priority", 0, 600
+        "policy",
+        "number",
+        0.25,
+        "lead of a load in seconds per level of priority",
+        0,
+        600,
     ),
     "WAITING_LEAD_S": Setting(
-        "policy", "number", 1.0, "lead per doubling of waiting requests", 0, 600
+        "policy",
+        "number",
+        1.0,
+        "lead in seconds per doubling of waiting requests",
+        0,
+        600,
     ),
     # requests
     "DEFAULT_DEADLINE_S": Setting(
         "requests", "number", 60.0, "deadline of a request that names none", 0.1, 3600
     ),
     "MAX_DEADLINE_S": Setting(
-        "requests", "number", 300.0, "longest deadline that a caller may ask", 1, 3600
+        "requests",
+        "number",
+        300.0,
+        "longest deadline that a caller may request",
+        1,
+        3600,
     ),
     "STREAM_SILENT_S": Setting(
         "requests", "number", 10.0, "longest silence of a target's stream", 0.1, 300
@@ -192,24 +223,36 @@
     "MAX_BODY_BYTES": Setting(
         "requests", "integer", 1 << 20, "largest request body", 64, 1 << 27
     ),
-    "MAX_HEADERS": Setting("requests", "integer", 64, "most headers", 8, 1000),
+    "MAX_HEADERS": Setting(
+        "requests", "integer", 64, "largest number of headers", 8, 1000
+    ),
     "MAX_CONNECTIONS": Setting(
-        "requests", "integer", 2000, "most open caller connections", 1, 100000
+        "requests",
+        "integer",
+        2000,
+        "largest number of open caller connections",
+        1,
+        100000,
     ),
     "CALLER_SILENT_S": Setting(
         "requests", "number", 60.0, "longest wait for a head, then a body", 0.1, 3600
     ),
     "MAX_OPEN_REQUESTS": Setting(
-        "requests", "integer", 1000, "most requests at once on this VM", 1, 100000
+        "requests",
+        "integer",
+        1000,
+        "largest number of concurrent requests on this VM",
+        1,
+        100000,
     ),
     "SLOW_CALLER_S": Setting(
         "requests", "number", 20.0, "longest wait for a caller to read", 0.1, 600
     ),
     "GATHER_MS": Setting(
-        "requests", "number", 4.0, "longest gathering of chunks before a write", 0, 50
+        "requests", "number", 4.0, "longest batching of chunks before a write", 0, 50
     ),
     "RETRY_SHARE": Setting(
-        "requests", "number", 0.1, "retries per first attempt, at most", 0, 1
+        "requests", "number", 0.1, "largest number of retries per first attempt", 0, 1
     ),
     "OWNER_WAIT_S": Setting(
         "requests", "number", 4.0, "longest wait for a target's new owner", 0, 60
@@ -221,17 +264,22 @@
         "claims", "number", 600.0, "how long an outcome is kept", 1, 86400
     ),
     "CLAIM_GATHER_MS": Setting(
-        "claims", "number", 2.0, "longest gathering of claims before a write", 0, 100
+        "claims", "number", 2.0, "longest batching of claims before a write", 0, 100
     ),
     "MAX_OUTCOME_BYTES": Setting(
         "claims", "integer", 2048, "largest answer kept with a claim", 0, 65536
     ),
     # suspects
     "CRASHES_TO_QUARANTINE": Setting(
-        "suspects", "integer", 2, "crashes that convict a request", 1, 10
+        "suspects", "integer", 2, "crashes after which a request is quarantined", 1, 10
     ),
     "QUARANTINE_S": Setting(
-        "suspects", "number", 600.0, "how long a convicted request is refused", 1, 86400
+        "suspects",
+        "number",
+        600.0,
+        "how long a quarantined request is refused",
+        1,
+        86400,
     ),
     # entry
     "ENTRY_KEEP_S": Setting(
@@ -239,48 +287,57 @@
     ),
     "ENTRY_ANSWERS": Setting("entry", "integer", 3, "addresses in an answer", 1, 64),
     "DRAIN_S": Setting(
-        "entry", "number", 320.0, "longest drain after kept answers ran out", 0, 3600
+        "entry",
+        "number",
+        320.0,
+        "longest drain after kept entry answers have expired",
+        0,
+        3600,
     ),
     # logs
     "LOG_LEVEL": Setting(
         "logs",
         "choice",
         "INFO",
-        "least level that is written",
+        "lowest level that is written",
         choices=("DEBUG", "INFO", "WARNING", "ERROR"),
     ),
     "LOG_FORMAT": Setting(
-        "logs", "choice", "text", "form of a line", choices=("text", "json")
+        "logs", "choice", "text", "format of a line", choices=("text", "json")
     ),
     "LOG_LINES_PER_S": Setting(
         "logs",
         "number",
         0,
-        "most lines a second, ordinary ones dropped first; 0: only repeated ones are",
+        "most lines a second, ordinary ones dropped first; 0: drop only repeats",
         0,
         1e5,
     ),
     "EVENT_RING": Setting("logs", "integer", 4096, "events kept in memory", 64, 1e6),
     # tls
-    "TLS_CERTIFICATE": Setting("tls", "text", "", "PEM file towards callers"),
-    "TLS_KEY": Setting("tls", "text", "", "PEM file of its private key"),
+    "TLS_CERTIFICATE": Setting(
+        "tls", "text", "", "PEM file with the certificate for callers"
+    ),
+    "TLS_KEY": Setting(
+        "tls", "text", "", "PEM file with the private key of the certificate"
+    ),
     "PEER_SECRET": Setting(
-        "tls", "text", "", "secret that VMs prove to one another; empty: none"
+        "tls", "text", "", "secret that VMs prove to each other; empty: none"
     ),
 }
 
 
 class Fit(NamedTuple):
-    """Two settings that must fit: ``lesser`` times ``factor`` at most ``greater``."""
+    """Two settings that must fit: ``lesser * factor`` is at most ``greater``."""
 
     lesser: str
     greater: str
     factor: int
 
 
-# ORDER_S and LEASE_S need no row, nor LOAD_S: an order begins under a lease and may
-# outlast it, since a successor waits out ORDER_S after the lease; a load that lands
-# later still takes nothing from any request.
+# ORDER_S needs no row with LEASE_S: an order starts under a lease and may outlast it,
+# since a successor waits ORDER_S after the lease. LOAD_S needs none either: a load that
+# takes effect even later takes nothing from any request.
 FITS = (
     Fit("LEASE_RENEW_S", "LEASE_S", 3),
     Fit("HEARTBEAT_S", "PEER_SILENT_S", 2),
--- a/hawthornlead/settings.py
+++ b/hawthornlead/settings.py
@@ -1,9 +1,9 @@
-"""Settings: read from an INI file over the defaults of their table, then checked.
+"""Reads settings from an INI file over their defaults, and checks them.
 
-The table is in ``setting_rows``.
-``read_settings`` reads a file over the defaults and ``configure_settings`` checks
-the outcome. All errors are reported at once, each with its section, its key, what
-was found and what is allowed. An unknown section or key is an error.
+The table of all settings is in ``setting_rows``. ``read_settings`` reads and checks a
+file; ``configure_settings`` checks settings that a program sets. All errors are
+reported at once, each with its section, its key, what was found and what is allowed. An
+unknown section or key is an error.
 """
 
 import configparser
@@ -35,7 +35,7 @@
 
 
 READERS: Registry[Callable[[str, Setting], Any]] = Registry("reader of settings")
-# A reader raises ``ValueError``, its text what is allowed, on text that is not.
+# On an invalid text a reader raises ``ValueError`` with a text on what is allowed.
 reader = READERS.register
 
 
@@ -98,7 +98,7 @@
 
 
 def default_settings(**overrides: Any) -> Settings:
-    """Return the defaults with ``overrides`` by UPPER_CASE name, for embedding."""
+    """Return the defaults with ``overrides`` by upper-case name, for embedding."""
     settings = {name: setting.default for name, setting in SETTINGS.items()}
     settings.update({name: {} for name in FREE_SECTIONS.values()})
     settings.update(overrides)
@@ -106,48 +106,48 @@
 
 
 def read_settings(path: str) -> Result[Settings, list[SettingError]]:
-    """Read an INI file over the defaults and check the outcome.
+    """Read an INI file over the defaults and check the settings.
 
-    The error holds every fault of the file, not just the first.
+    The error contains all errors of the file, not just the first.
     """
-    # An empty default section can't be written in a file, so that [DEFAULT] is an
-    # unknown section like any other and does not leak keys into all sections.
+    # A file can't have a section with an empty name. So [DEFAULT] is an unknown section
+    # like any other, and its keys do not apply to all sections.
     parser = configparser.ConfigParser(interpolation=None, default_section="")
     try:
         with open(path, encoding="utf-8") as file:
             parser.read_file(file)
     except (OSError, UnicodeDecodeError, configparser.Error) as error:
-        told = getattr(error, "strerror", None) or " ".join(str(error).split())
-        fault = SettingError("", "", f"{path}: {told}", "a readable INI file")
-        return Err([fault])
+        reason = getattr(error, "strerror", None) or " ".join(str(error).split())
+        unreadable = SettingError("", "", f"{path}: {reason}", "a readable INI file")
+        return Err([unreadable])
     settings = default_settings()
     errors = _read_sections(parser, settings)
     errors += _bad_operators(settings["OPERATORS"])
-    told = {(error.section, error.key) for error in errors}
-    errors += _missing(settings, told)
-    errors += _misfits(settings, told)
+    reported = {(error.section, error.key) for error in errors}
+    errors += _missing(settings, reported)
+    errors += _conflicts(settings, reported)
     if errors:
         return Err(errors)
     return Ok(settings)
 
 
 def configure_settings(settings: Settings) -> Result[Settings, list[SettingError]]:
-    """Check what no single key shows: how the settings fit together."""
+    """Check the operators' keys, and how settings fit together."""
     errors = _bad_operators(settings["OPERATORS"])
-    errors += _misfits(settings, told=set())
+    errors += _conflicts(settings, reported=set())
     if errors:
         return Err(errors)
     return Ok(settings)
 
 
-def _misfits(settings: Settings, told: set) -> list[SettingError]:
-    """Return what does not fit together, leaving out keys with an error ``told``."""
+def _conflicts(settings: Settings, reported: set) -> list[SettingError]:
+    """Return settings that do not fit together, except for keys in ``reported``."""
     errors = []
     for lesser, greater, factor in FITS:
         row = SETTINGS[lesser]
-        places = {(row.section, lesser.lower())}
-        places.add((SETTINGS[greater].section, greater.lower()))
-        if places & told or settings[lesser] * factor <= settings[greater]:
+        keys = {(row.section, lesser.lower())}
+        keys.add((SETTINGS[greater].section, greater.lower()))
+        if keys & reported or settings[lesser] * factor <= settings[greater]:
             continue
         allowed = f"at most {greater.lower()} ({settings[greater]}) / {factor}"
         found = str(settings[lesser])
@@ -186,15 +186,15 @@
 
 
 def _bad_operators(operators: dict[str, str]) -> list[SettingError]:
-    """Return the operators whose public key can't be one.
+    """Return an error for each operator whose public key is invalid.
 
-    Checked here, so that a mistyped key is told with all other errors and does not
-    end the daemon while it starts.
+    With this check a mistyped key is reported together with all other errors, and does
+    not end the daemon during its start.
     """
     if not operators:
         return []
-    # Loaded only where there are operators to check: a gateway has none, and starts
-    # sooner without the library for signatures.
+    # Imported only if there are operators to check: a gateway has none, and starts
+    # faster without the library for signatures.
     from .signatures import check_operators
 
     errors = []
@@ -205,10 +205,10 @@
     return errors
 
 
-def _missing(settings: Settings, told: set) -> list[SettingError]:
+def _missing(settings: Settings, reported: set) -> list[SettingError]:
     errors = []
     for name, row in SETTINGS.items():
-        if settings[name] is not None or (row.section, name.lower()) in told:
+        if settings[name] is not None or (row.section, name.lower()) in reported:
             continue
         errors.append(SettingError(row.section, name.lower(), "nothing", row.text))
     return errors
--- a/hawthornlead/signatures.py
+++ b/hawthornlead/signatures.py
@@ -1,8 +1,8 @@
 """Ed25519 signatures of operators over what they prepare, approve and order.
 
-A ``Statement`` says what an operator wants done; it is signed over its canonical
-JSON, so that no field can be moved into another statement. Public keys stand in
-the settings under ``[operators]``; private keys stay with the operators::
+A ``Statement`` says what an operator orders. The signature covers its canonical JSON,
+so no field can be moved into another statement. Public keys are in the settings under
+``[operators]``; private keys stay with the operators::
 
     key = generate_key()
     signed = sign(key, Statement(Purpose.PREPARE.value, "anna", digest))
@@ -27,8 +27,8 @@
 from .errors import ErrorKind, Failure
 from .hashes import canonical
 
-# Signed before each statement, so that a signature made for another program with
-# the same key is no signature here.
+# Prefixes of the signed bytes, so that a signature made for another program with the
+# same key is not valid here.
 DOMAIN = b"hawthornlead statement 1\n"
 REQUEST_DOMAIN = b"hawthornlead request 1\n"
 
@@ -46,11 +46,11 @@
 class Statement(NamedTuple):
     """What an operator signs.
 
-    ``digest`` names the bundle. ``expected_seq`` is the sequence number that the
-    operator saw in force when ordering a roll: two operators who order at once name
-    the same one, and only the first roll fits it. ``order_id`` makes an order one
-    of its own, so that it can't be carried out twice. ``waived`` names the VMs and
-    data centres without whose word a roll is to be accepted.
+    ``digest`` names the bundle. ``expected_seq`` is the sequence number that was in
+    force when the operator ordered a roll. If two operators order at once, both name
+    the same number and only the first roll matches it. ``order_id`` makes an order
+    unique, so that it can't be executed twice. ``waived`` names the VMs and data
+    centres whose acknowledgement a roll does not need.
     """
 
     purpose: str
@@ -68,7 +68,7 @@
     signature: bytes
 
     def document(self) -> dict[str, Any]:
-        """Return the statement as JSON values, as the store keeps it."""
+        """Return the statement as JSON values, in the form of the store."""
         fields = self.statement._asdict()
         fields["waived"] = list(self.statement.waived)
         return {"statement": fields, "signature": _text(self.signature)}
@@ -90,12 +90,12 @@
 
 
 def generate_key() -> Ed25519PrivateKey:
-    """Make a new private key."""
+    """Generate a new private key."""
     return Ed25519PrivateKey.generate()
 
 
 def private_text(key: Ed25519PrivateKey) -> str:
-    """Return a private key as text, as ``read_private`` reads it."""
+    """Return a private key as text for ``read_private``."""
     return _text(key.private_bytes_raw())
 
 
@@ -105,7 +105,7 @@
 
 
 def read_private(text: str) -> Result[Ed25519PrivateKey, Failure]:
-    """Read a private key from its text."""
+    """Decode a private key from its text."""
     try:
         raw = base64.b64decode(text.strip(), validate=True)
         return Ok(Ed25519PrivateKey.from_private_bytes(raw))
@@ -114,7 +114,7 @@
 
 
 def read_private_file(path: str) -> Result[Ed25519PrivateKey, Failure]:
-    """Read a private key from a file, as ``keys new`` writes it."""
+    """Read a private key from a file that ``keys new`` wrote."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except OSError as error:
@@ -132,17 +132,17 @@
 
 
 def read_signed(document: Any) -> Result[SignedStatement, Failure]:
-    """Read a signed statement from JSON values; the signature is not checked."""
+    """Decode a signed statement from JSON values, without a check of the signature."""
     try:
         fields = dict(document["statement"])
         fields["waived"] = tuple(str(name) for name in fields.get("waived", ()))
         statement = Statement(**fields)
         signature = base64.b64decode(document["signature"], validate=True)
-        wanted = (statement.purpose, statement.operator, statement.digest)
-        if not all(isinstance(field, str) for field in wanted):
-            raise ValueError("a field is no text")
+        texts = (statement.purpose, statement.operator, statement.digest)
+        if not all(isinstance(field, str) for field in texts):
+            raise ValueError("purpose, operator or digest is not a text")
         if type(statement.expected_seq) is not int:
-            raise ValueError("expected_seq is no whole number")
+            raise ValueError("expected_seq is not a whole number")
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         return _refused(f"the signed statement is malformed: {error}")
     return Ok(SignedStatement(statement, signature))
@@ -181,7 +181,7 @@
     def verify(
         self, signed: SignedStatement, purpose: Purpose, digest: str | None = None
     ) -> Result[Statement, Failure]:
-        """Check a statement's signature, purpose and, where given, digest."""
+        """Check a statement's signature and purpose, and its digest if one is given."""
         statement = signed.statement
         if statement.purpose != purpose.value:
             return _refused(f"signed to {statement.purpose}, not to {purpose.value}")
@@ -199,21 +199,21 @@
     def verify_release(
         self, prepared: SignedStatement, approved: SignedStatement, digest: str
     ) -> Result[None, Failure]:
-        """Check that a bundle was prepared and approved, by two operators."""
+        """Check that a bundle was prepared and approved by two different operators."""
         preparer = self.verify(prepared, Purpose.PREPARE, digest)
         if preparer.is_err():
             return preparer
         approver = self.verify(approved, Purpose.APPROVE, digest)
         if approver.is_err():
             return approver
-        # Two names with one key are one person.
-        one = self._raw(preparer.unwrap().operator)
-        two = self._raw(approver.unwrap().operator)
-        if one == two:
+        # Operators with the same key count as the same person.
+        preparer_key = self._raw_key(preparer.unwrap().operator)
+        approver_key = self._raw_key(approver.unwrap().operator)
+        if preparer_key == approver_key:
             return _refused("the preparer may not approve: another operator must")
         return Ok(None)
 
-    def _raw(self, operator: str) -> bytes:
+    def _raw_key(self, operator: str) -> bytes:
         return self._keys[operator].public_bytes_raw()
 
     def _check(
@@ -230,7 +230,7 @@
 
 
 def check_operators(operators: Mapping[str, str]) -> list[str]:
-    """Return a sentence on every operator whose public key can't be read."""
+    """Return a message for every operator whose public key is invalid."""
     faults = []
     for name, text in operators.items():
         try:
