--- a/hawthornlead/gateway/change_logs.py
+++ b/hawthornlead/gateway/change_logs.py
@@ -1,9 +1,9 @@
-"""The changes of one kind that a relay passes on, each from where the last one ended.
+"""The changes of one kind that a relay forwards, in batches without gaps.
 
 A decision on what one relay saw, testable without a network::
 
-    chain = ChangeLog(known)
-    link = chain.watched(since=7, until=9, events=changes.events)
+    log = ChangeLog(known)
+    batch = log.watched(since=7, until=9, events=changes.events)
 """
 
 from collections.abc import Iterable
@@ -16,11 +16,11 @@
 
 
 class ChangeBatch(NamedTuple):
-    """All changes of note after ``since``, up to ``until``.
+    """All effective changes after ``since``, up to ``until``.
 
-    ``names`` are those of all objects at ``until``, None where each removal is told.
-    Objects that were at the revision ``compared_at`` as they are at ``until`` are left
-    out, None where each change is told.
+    ``names`` are those of all objects at ``until``, None if ``events`` has each
+    removal. Objects that are the same at ``until`` as at the revision ``compared_at``
+    are left out, None if ``events`` has each change.
     """
 
     since: int
@@ -31,10 +31,10 @@
 
 
 class ChangeLog:
-    """What a relay's own calls have shown of one kind since it began.
+    """What a relay's own calls have shown of one kind since it became a relay.
 
-    It takes no notice of what another relay told: a VM that has missed that would miss
-    the change for good. Nothing of note has changed after ``since``, up to ``until``.
+    Changes received from another relay are ignored: a VM that missed one of those would
+    miss it for good. No effective change came after ``since``, up to ``until``.
     """
 
     def __init__(self, known: KindRecords):
@@ -48,61 +48,61 @@
 
     @property
     def since(self) -> int:
-        """The revision of the last change of note."""
+        """The revision of the last effective change."""
         return self._since
 
     @property
     def until(self) -> int:
-        """The revision up to which this relay has passed everything on."""
+        """The revision up to which this relay has forwarded all changes."""
         return self._until
 
     def restart(self) -> None:
-        """Begin anew: whoever doesn't know all up to here has to ask elsewhere."""
+        """Start over: VMs that lack changes up to here must fetch them elsewhere."""
         self._since = self._until
 
     def watched(
         self, since: int, until: int, events: Iterable[StoreEvent]
     ) -> ChangeBatch | None:
-        """Go on by what a watch told; None if there is nothing to pass on."""
+        """Add the result of a watch; return None if there is nothing to forward."""
         if since != self._until or until < since:
-            # That watch began before this chain did.
+            # That watch started before this log did.
             return None
-        news = []
+        changes = []
         for event in events:
-            if self._is_news(event):
-                news.append(event)
-        link = ChangeBatch(self._since, until, tuple(news))
+            if self._is_effective(event):
+                changes.append(event)
+        batch = ChangeBatch(self._since, until, tuple(changes))
         self._until = until
-        if not news:
+        if not changes:
             return None
-        self._since = max(event.record.revision for event in news)
-        return link
+        self._since = max(event.record.revision for event in changes)
+        return batch
 
     def listed(self, until: int, records: Iterable[StoredRecord]) -> ChangeBatch | None:
-        """Go on by a listing, which shows each object but not how it came there."""
+        """Add a listing, which shows each object but not the changes leading to it."""
         if until < self._until:
             return None
         names = set()
-        news = []
+        changes = []
         for record in records:
             names.add(record.name)
             event = StoreEvent(record, False)
-            if record.revision > self._until and self._is_news(event):
-                news.append(event)
+            if record.revision > self._until and self._is_effective(event):
+                changes.append(event)
         for name in set(self._seen) - names:
             del self._seen[name]
-        link = ChangeBatch(
-            self._since, until, tuple(news), tuple(sorted(names)), self._until
+        batch = ChangeBatch(
+            self._since, until, tuple(changes), tuple(sorted(names)), self._until
         )
         self._since = self._until = until
-        return link
+        return batch
 
-    def _is_news(self, event: StoreEvent) -> bool:
+    def _is_effective(self, event: StoreEvent) -> bool:
         name = event.record.name
         if event.deleted:
             return self._seen.pop(name, _NOT_SEEN) is not _NOT_SEEN
-        effective_content = self._known.effective_content_of(event.record)
-        if effective_content == self._seen.get(name, _NOT_SEEN):
+        content = self._known.effective_content_of(event.record)
+        if content == self._seen.get(name, _NOT_SEEN):
             return False
-        self._seen[name] = effective_content
+        self._seen[name] = content
         return True
--- a/hawthornlead/gateway/kind_records.py
+++ b/hawthornlead/gateway/kind_records.py
@@ -1,9 +1,9 @@
-"""What a VM knows of one kind of the store's objects, and up to which revision.
+"""The known objects of one kind of the store, and up to which revision they are known.
 
-Whoever tells of changes says after which revision these are all, and up to which one.
-Only who knows everything up to the first knows everything up to the second::
+Each set of changes is complete between two revisions. A VM that lacks nothing up to the
+first revision lacks nothing up to the second once it has applied the changes::
 
-    known = KindRecords("config", on_changed=take, on_deleted=drop, events=events)
+    known = KindRecords("config", on_changed=apply, on_deleted=remove, events=events)
     known.apply_changes(7, 9, (StoreEvent(record, False),))
     known.until
 """
@@ -22,18 +22,18 @@
 
 
 class KindRecords:
-    """The newest known state of each object, and how complete that is.
+    """The newest known state of each object, and up to which revision it is complete.
 
     ``effective_content`` returns the fields of an object whose change matters; changes
     of other fields are not reported.
 
-    Guards against an old answer overtaking a newer one, which would bring back a
-    configuration that was replaced: an object at a revision that isn't newer than the
-    one known is dropped, and so is all that is older than ``until``.
+    Guards against a stale answer that arrives late, which would bring back a replaced
+    configuration: an object at a revision that isn't newer than the one known is
+    ignored, and so is everything older than ``until``.
 
-    What another writer put into the store may be unreadable: ``effective_content`` or
-    ``on_changed`` raise ``ValueError``, and ``on_unreadable`` is called instead, once
-    until the object can be read again. The other objects hold.
+    Other writers may store unreadable objects: ``effective_content`` or ``on_changed``
+    raise ``ValueError``, and ``on_unreadable`` is called instead, once until the object
+    can be read again. The other objects stay in force.
     """
 
     def __init__(
@@ -56,8 +56,8 @@
         self._effective_content = effective_content
         self._records: dict[str, StoredRecord] = {}
         self._effective_contents: dict[str, Any] = {}
-        # Of objects that went at a revision after ``until``: an older change that comes
-        # by another way must not bring them back.
+        # Revisions of removals after ``until``: an older change that arrives from
+        # another source must not bring these objects back.
         self._removed: dict[str, int] = {}
         self._until = NO_REVISION
         self._quiet_since = NO_REVISION
@@ -69,28 +69,27 @@
 
     @property
     def until(self) -> int:
-        """The revision of the store up to which no change of note is missing."""
+        """The revision of the store up to which no effective change is missing."""
         return self._until
 
     @property
     def quiet_since(self) -> int:
-        """The revision since which, up to ``until``, nothing of note has changed."""
+        """The revision after which there was no effective change, up to ``until``."""
         return self._quiet_since
 
     def apply_listing(self, until: int, records: Iterable[StoredRecord]) -> None:
-        """Take all objects that there are at a revision.
+        """Apply a complete listing at a revision.
 
-        They are compared one by one where that is at or after ``until``, so that what
-        went wrong before is put right.
+        At or after ``until`` each object is compared, which repairs earlier faults.
         """
         names = set()
         newest = until >= self._until
         for record in records:
             names.add(record.name)
             if newest or record.revision > self._until:
-                self._put(record)
-        self._drop_others(names, until)
-        self._reach(until, until)
+                self._store(record)
+        self._remove_others(names, until)
+        self._advance(until, until)
 
     def apply_changes(
         self,
@@ -100,46 +99,46 @@
         names: tuple[str, ...] | None = None,
         compared_at: int | None = None,
     ) -> bool:
-        """Take all changes after one revision, up to another.
+        """Apply all changes after one revision, up to another.
 
         With ``names``, an object that isn't among them is gone at ``until``. With
-        ``compared_at``, an object that was then as it is at ``until`` isn't told, and
-        may have been different in between. Return False if what was told doesn't go
-        on from what is known here: it is taken, but ``until`` stays.
+        ``compared_at``, an object that was the same then as at ``until`` is left out,
+        and may have been different in between. Return False if there is a gap between
+        the known state and these changes: they are applied, but ``until`` stays.
         """
         changed_at = NO_REVISION
         for event in changes:
             if event.record.revision > self._until:
-                # Also if it was taken before, when changes were missing before it.
+                # Also if it was applied before, while earlier changes were missing.
                 changed_at = max(changed_at, event.record.revision)
-                self._take(event)
+                self._apply(event)
         if since > self._until or until < since:
             return False
         if compared_at is not None and self._until > compared_at:
             return until <= self._until
         if names is not None:
-            self._drop_others(set(names), until)
+            self._remove_others(set(names), until)
             changed_at = until
         if changed_at != NO_REVISION:
-            self._reach(until, min(changed_at, until))
+            self._advance(until, min(changed_at, until))
         elif not changes and since < self._quiet_since <= until:
-            self._reach(until, since)
+            self._advance(until, since)
         else:
-            self._reach(until, self._quiet_since)
+            self._advance(until, self._quiet_since)
         return True
 
     def effective_content_of(self, record: StoredRecord) -> Any:
-        """Return what of an object matters, one value for all that can't be read."""
+        """Return an object's effective content, one value for all unreadable."""
         try:
             return self._read_effective_content(record)
         except ValueError:
             return _UNREADABLE
 
-    def note_unnamed(self) -> None:
-        """Note objects without a name or revision that can be read."""
-        self._tell_unusable(self._kind, "no name or revision that can be read")
+    def report_unnamed(self) -> None:
+        """Report objects without a readable name or revision."""
+        self._report_unusable(self._kind, "no name or revision that can be read")
 
-    def _reach(self, until: int, quiet_since: int) -> None:
+    def _advance(self, until: int, quiet_since: int) -> None:
         self._quiet_since = quiet_since
         if until <= self._until:
             return
@@ -148,14 +147,14 @@
             kept = {name: at for name, at in self._removed.items() if at > until}
             self._removed = kept
 
-    def _take(self, event: StoreEvent) -> None:
+    def _apply(self, event: StoreEvent) -> None:
         if event.deleted:
-            self._drop(event.record.name, event.record.revision)
+            self._remove(event.record.name, event.record.revision)
         else:
-            self._put(event.record)
+            self._store(event.record)
 
-    def _put(self, record: StoredRecord) -> None:
-        """Put an object in force, unless it is old or changes nothing of note."""
+    def _store(self, record: StoredRecord) -> None:
+        """Put an object in force, unless it is old or has no effective change."""
         known = self._records.get(record.name)
         if known is not None and record.revision <= known.revision:
             return
@@ -170,7 +169,7 @@
                 return
             self._on_changed(record)
         except ValueError as error:
-            self._put_unreadable(record, error)
+            self._mark_unreadable(record, error)
             return
         self._effective_contents[record.name] = effective_content
 
@@ -179,30 +178,30 @@
             raise ValueError("it is no object, or has bytes that can't be read")
         return self._effective_content(record)
 
-    def _put_unreadable(self, record: StoredRecord, error: ValueError) -> None:
-        """Note an unreadable object.
+    def _mark_unreadable(self, record: StoredRecord, error: ValueError) -> None:
+        """Record an unreadable object.
 
-        A writer may go on writing such objects several times a second: only the first
-        of a series is told.
+        A writer may write such objects several times a second: only the first of a
+        series is reported.
         """
         if self._effective_contents.get(record.name) is _UNREADABLE:
             return
         self._effective_contents[record.name] = _UNREADABLE
-        self._tell_unusable(f"{self._kind}/{record.name}", str(error))
+        self._report_unusable(f"{self._kind}/{record.name}", str(error))
         self._on_unreadable(record.name)
 
-    def _tell_unusable(self, subject: str, detail: str) -> None:
+    def _report_unusable(self, subject: str, detail: str) -> None:
         self._events.emit(EventKind.RECORD_UNUSABLE, subject, error=detail)
         if self._metrics is not None:
             self._metrics.unreadable.labels(self._kind).inc()
 
-    def _drop_others(self, names: set[str], revision: int) -> None:
-        """Drop what isn't among the names, unless it came after a revision."""
+    def _remove_others(self, names: set[str], revision: int) -> None:
+        """Remove objects not among the names, unless they came after a revision."""
         for name in [name for name in self._records if name not in names]:
             if self._records[name].revision <= revision:
-                self._drop(name, revision)
+                self._remove(name, revision)
 
-    def _drop(self, name: str, revision: int) -> None:
+    def _remove(self, name: str, revision: int) -> None:
         known = self._records.get(name)
         if known is not None and revision < known.revision:
             return
--- a/hawthornlead/gateway/relayed_records.py
+++ b/hawthornlead/gateway/relayed_records.py
@@ -1,4 +1,4 @@
-"""Objects of the store as relays pass them on to other VMs, and back again.
+"""Encoding of the store's objects for messages between VMs.
 
 ::
 
@@ -12,33 +12,35 @@
 from ..platform.objects import content_body, read_content
 from .records import StoredRecord
 
-# A configuration of many routes goes to each VM of a data centre from one head, whose
-# link it would fill for seconds. Packed, it takes a tenth.
-PACKED_CHARACTERS = 2000
-PACKING = 1
-MOST_UNPACKED_BYTES = 16 << 20
+# One head sends a configuration of many routes to each VM of its data centre, which
+# would fill its link for seconds. Compressed, it takes a tenth.
+MIN_PACKED_CHARACTERS = 2000
+COMPRESSION_LEVEL = 1
+MAX_UNPACKED_BYTES = 16 << 20
 
 
 def relayed_record(
     name: str, record: StoredRecord | None, revision: int
 ) -> RelayedRecord:
-    """Return an object as it is passed on; None if it was deleted."""
+    """Encode an object for a message; ``record`` is None if it was deleted."""
     body = "" if record is None else content_body(record)
-    if len(body) < PACKED_CHARACTERS:
+    if len(body) < MIN_PACKED_CHARACTERS:
         return RelayedRecord(name, revision, body)
-    return RelayedRecord(name, revision, "", zlib.compress(body.encode(), PACKING))
+    return RelayedRecord(
+        name, revision, "", zlib.compress(body.encode(), COMPRESSION_LEVEL)
+    )
 
 
 def read_relayed(relayed: RelayedRecord) -> StoredRecord:
-    """Return the object that another VM passed on, unreadable if it was so there."""
+    """Decode an object from another VM, unreadable if it was unreadable there."""
     return read_content(relayed.name, relayed.revision, _unpacked(relayed))
 
 
 def _unpacked(relayed: RelayedRecord) -> str | bytes:
-    """Return an object's JSON; what can't be unpacked reads as no object."""
+    """Return an object's JSON, empty if it can't be decompressed."""
     if not relayed.packed:
         return relayed.body
     try:
-        return zlib.decompressobj().decompress(relayed.packed, MOST_UNPACKED_BYTES)
+        return zlib.decompressobj().decompress(relayed.packed, MAX_UNPACKED_BYTES)
     except zlib.error:
         return ""
--- a/hawthornlead/gateway/store_clients.py
+++ b/hawthornlead/gateway/store_clients.py
@@ -86,7 +86,7 @@
             return Ok(None)
         return _parsed(status, body, read_record)
 
-    async def ask(self) -> None:
+    async def probe(self) -> None:
         """Ask for an object that need not be there; ``answered_at`` tells if it was."""
         await self._call("GET", stale_object_path(*ASKED_FOR))
 
--- a/hawthornlead/gateway/watch_relays.py
+++ b/hawthornlead/gateway/watch_relays.py
@@ -1,14 +1,14 @@
-"""Sharing watches of the store: a few VMs watch, the others are told.
+"""Shared watches of the store: a few relays watch and forward changes to all VMs.
 
 Each waiting watch and each of its answers is a call that the store counts. If every VM
-watched, calls would grow with the fleet times its changes. So two VMs, those that
-registered first, watch and pass changes on over the mesh; the others watch only while
-no relay vouches for the kind. A VM that starts in a large fleet takes what there is
-from the head that feeds it, and not from the store.
-
-A VM knows that it lacks nothing by the store's revisions: whatever is passed on says
-after which revision these are all changes, and up to which one. So it makes no
-difference which relay told what, or whether one took the place of another.
+watched, calls would grow with the fleet times its changes. So the two VMs with the
+oldest registrations watch and forward changes over the mesh; the others watch only
+while no relay confirms the kind up to date. A VM that starts in a large fleet fetches
+the objects from its upstream head, not from the store.
+
+A VM knows that it lacks nothing by the store's revisions: each batch of changes is
+complete after one revision, up to another. So it makes no difference which relay sent
+a batch, or whether one relay replaced another.
 """
 
 from collections import defaultdict
@@ -35,27 +35,31 @@
 from .relayed_records import read_relayed, relayed_record
 from .store_clients import StoreClient
 
-# A relay whose store answered none of its calls for so long vouches for nothing. Its
-# watches may wait WAIT_S for an answer and look well meanwhile, while the store is out
-# of its reach: with the next word and a listing the others know of a change within
-# 1.5 s, of the 2 s in which a leaving target must be heeded; else it took up to 5 s.
+# A relay confirms no kind once the store has been silent for this long. Its watches may
+# wait WATCH_WAIT_S for an answer and look healthy while the store is unreachable. With
+# this bound, the next heartbeat and a listing, the others learn of a change within
+# 1.5 s, of the 2 s in which a VM must stop using a leaving target; without it that took
+# up to 5 s.
 STORE_MAX_SILENCE_S = 0.8
-# After so long without an answer the store is asked; most often targets' heartbeats
-# have brought one before.
-ASK_STORE_S = 0.45
+# The store is probed after this much silence. Usually the heartbeats of targets have
+# brought an answer before.
+STORE_PROBE_AFTER_S = 0.45
 RELAY_HEARTBEAT_INTERVAL_S = 0.4
 RELAY_ELECTION_INTERVAL_S = 0.2
 # An object of the store may be as large as the largest message between VMs, by default
 # 1 MiB, and larger once it is escaped. Half of it leaves room for what goes with it.
 MAX_RELAYED_BYTES = 500_000
-# So many VMs are asked for what they know, while the store is away.
+# How many VMs to fetch objects from while the store is unavailable.
 MAX_FETCH_SOURCES = 8
-# Records are fetched from other VMs in messages of about this size.
-FETCHED_BYTES = 200_000
+# Objects are fetched from other VMs in messages of about this size.
+FETCH_PAGE_BYTES = 200_000
 
 
-class _Heard(NamedTuple):
-    """What a relay said last of a kind, and when: a ``RelayedKind`` of its word."""
+class _Confirmation(NamedTuple):
+    """A kind in a relay's last heartbeat, and when that was received.
+
+    ``since`` is the revision after which the relay saw no effective change.
+    """
 
     at: float
     since: int
@@ -64,7 +68,7 @@
 class _Followed(NamedTuple):
     """A kind that a watcher follows.
 
-    ``fresh`` tells whether its own watch shows all changes.
+    ``fresh`` tells whether the watcher's own calls show all changes.
     """
 
     known: KindRecords
@@ -72,7 +76,7 @@
 
 
 class WatchRelays:
-    """What this VM passes on as a relay, and what it hears from relays.
+    """Sends changes as a relay, and receives changes from relays.
 
     ::
 
@@ -96,14 +100,16 @@
         self._mesh = mesh
         self._timers = timers
         self._followed: dict[str, _Followed] = {}
-        self._chains: dict[str, ChangeLog] = {}
-        self._heard: dict[str, dict[str, _Heard]] = defaultdict(dict)
-        self._told_kinds: set[str] = set()
+        self._logs: dict[str, ChangeLog] = {}
+        self._confirmations: dict[str, dict[str, _Confirmation]] = defaultdict(dict)
+        self._confirmed_kinds_sent: set[str] = set()
         self._missing: set[str] = set()
-        self._asked = 0
+        self._fetch_count = 0
         self._relaying = False
-        self._role = RelayElection(memberships=memberships, mesh=mesh, timers=timers)
-        mesh.on(RelayHeartbeat, self._on_word)
+        self._election = RelayElection(
+            memberships=memberships, mesh=mesh, timers=timers
+        )
+        mesh.on(RelayHeartbeat, self._on_heartbeat)
         mesh.on(RelayedChanges, self._on_changes)
         mesh.on(FetchRecords, self._on_fetch)
 
@@ -119,134 +125,136 @@
 
     @property
     def has_source(self) -> bool:
-        """Whether another VM tells this one of changes, or will as soon as it's heard.
+        """Whether another VM sends changes to this one, or will once it is connected.
 
-        The first VMs of a fleet have nobody to ask.
+        The first VMs of a fleet have no source.
         """
         return self._mesh.large and not self.is_relay
 
     def start(self) -> None:
-        """Begin to vouch for what this VM watches."""
-        self._look_at_role()
+        """Start electing relays, and sending heartbeats as a relay."""
+        self._update_role()
         self._timers.every(
-            RELAY_ELECTION_INTERVAL_S, self._look_at_role, name="relay-role"
+            RELAY_ELECTION_INTERVAL_S, self._update_role, name="relay-role"
         )
         self._timers.every(
-            RELAY_HEARTBEAT_INTERVAL_S, self._tell_word, name="relay-word"
+            RELAY_HEARTBEAT_INTERVAL_S, self._send_heartbeat, name="relay-word"
         )
 
     def follow(self, kind: str, known: KindRecords, fresh: Callable[[], bool]) -> None:
-        """Enter a watcher of a kind."""
+        """Register the watcher of a kind."""
         self._followed[kind] = _Followed(known, fresh)
 
     def is_relayed(self, kind: str) -> bool:
-        """Whether a relay was heard lately and nothing that it passed on is missing."""
-        heard_after = self._timers.now() - RELAY_HEARTBEAT_TTL_S
+        """Whether a relay was seen recently and no forwarded change is missing."""
+        confirmed_after = self._timers.now() - RELAY_HEARTBEAT_TTL_S
         until = self._followed[kind].known.until
-        for heard in self._heard[kind].values():
-            if heard.at >= heard_after and heard.since <= until:
+        for confirmation in self._confirmations[kind].values():
+            if confirmation.at >= confirmed_after and confirmation.since <= until:
                 return True
         return False
 
     def change_sources(self) -> dict[str, str]:
-        """Return by what this VM learns of changes of each kind that it follows."""
+        """Return the change source of each followed kind."""
         return {kind: self.change_source(kind) for kind in self._followed}
 
     def change_source(self, kind: str) -> str:
-        """Return by what this VM learns of changes of one kind."""
+        """Return from where this VM receives changes of a kind."""
         if self.is_relay:
             return "watches for others"
         return "told by a relay" if self.is_relayed(kind) else "own watch"
 
-    # What a relay passes on
+    # Sending as a relay
 
     def watch_since(self, kind: str) -> int:
-        """Return the revision after which the next watch of a kind has to begin."""
-        chain = self._chains.get(kind)
-        return chain.until if chain else self._followed[kind].known.until
+        """Return the revision after which the next watch of a kind must start."""
+        log = self._logs.get(kind)
+        return log.until if log else self._followed[kind].known.until
 
     def on_watched(
         self, kind: str, since: int, until: int, events: Iterable[StoreEvent]
     ) -> None:
-        """Pass on what an own watch showed, if this VM is a relay."""
-        chain = self._chains.get(kind)
-        if chain is not None:
-            self._pass_on(kind, chain, chain.watched(since, until, events))
+        """Forward the result of this VM's watch, if it is a relay."""
+        log = self._logs.get(kind)
+        if log is not None:
+            self._forward(kind, log, log.watched(since, until, events))
 
     def on_listed(self, kind: str, until: int, records: Iterable[StoredRecord]) -> None:
-        """Pass on what an own listing showed, if this VM is a relay."""
-        chain = self._chains.get(kind)
-        if chain is not None:
-            self._pass_on(kind, chain, chain.listed(until, records))
+        """Forward the result of this VM's listing, if it is a relay."""
+        log = self._logs.get(kind)
+        if log is not None:
+            self._forward(kind, log, log.listed(until, records))
         elif self.is_relay:
-            self._begin_chain(kind)
+            self._start_log(kind)
 
-    def _pass_on(self, kind: str, chain: ChangeLog, link: ChangeBatch | None) -> None:
-        if link is None:
+    def _forward(self, kind: str, log: ChangeLog, batch: ChangeBatch | None) -> None:
+        if batch is None:
             return
         records = []
-        for event in link.events:
+        for event in batch.events:
             record = None if event.deleted else event.record
             name, revision = event.record.name, event.record.revision
             records.append(relayed_record(name, record, revision))
         if sum(record.size for record in records) > MAX_RELAYED_BYTES:
-            # The mesh can't carry it, and raises an error that would end the watch.
-            # The others see by the revisions that they miss changes, and watch.
-            chain.restart()
+            # The mesh can't carry the batch, and raises an error that would end the
+            # watch. The others see by the revisions that they miss changes, and watch.
+            log.restart()
             return
-        changes = RelayedChanges(kind, *link._replace(events=tuple(records)))
+        changes = RelayedChanges(kind, *batch._replace(events=tuple(records)))
         self._mesh.broadcast(changes)
 
-    def _look_at_role(self) -> None:
-        """Become a relay, or stop being one, by who else vouches."""
-        relaying = self._role.should_relay()
+    def _update_role(self) -> None:
+        """Become a relay, or stop being one, according to the election."""
+        relaying = self._election.should_relay()
         if relaying == self._relaying:
-            if self._told_kinds - self._vouched_kinds():
-                # The others need another relay; the next word would be late.
-                self._tell_word()
+            if self._confirmed_kinds_sent - self._confirmed_kinds():
+                # The others need another relay; the next heartbeat would be late.
+                self._send_heartbeat()
             return
         self._relaying = relaying
-        self._chains.clear()
-        self._told_kinds = set()
+        self._logs.clear()
+        self._confirmed_kinds_sent = set()
         for kind in self._followed if relaying else ():
-            self._begin_chain(kind)
+            self._start_log(kind)
         event = EventKind.RELAY_BEGUN if relaying else EventKind.RELAY_ENDED
         self._events.emit(event, self._memberships.vm)
 
-    def _begin_chain(self, kind: str) -> None:
+    def _start_log(self, kind: str) -> None:
         known = self._followed[kind].known
         if known.until != NO_REVISION:
-            self._chains[kind] = ChangeLog(known)
+            self._logs[kind] = ChangeLog(known)
 
-    def _tell_word(self) -> None:
+    def _send_heartbeat(self) -> None:
         if not self.is_relay:
             return
-        if self._timers.now() - self._client.answered_at > ASK_STORE_S:
-            self._tasks.spawn_once("ask", self._client.ask)
-        self._told_kinds = self._vouched_kinds()
+        if self._timers.now() - self._client.answered_at > STORE_PROBE_AFTER_S:
+            self._tasks.spawn_once("ask", self._client.probe)
+        self._confirmed_kinds_sent = self._confirmed_kinds()
         kinds = []
-        for kind, chain in self._chains.items():
-            if kind in self._told_kinds:
-                kinds.append(RelayedKind(kind, chain.since, chain.until))
+        for kind, log in self._logs.items():
+            if kind in self._confirmed_kinds_sent:
+                kinds.append(RelayedKind(kind, log.since, log.until))
         self._mesh.broadcast(RelayHeartbeat(tuple(kinds)))
 
-    def _vouched_kinds(self) -> set[str]:
-        """Return the kinds of which this VM's own calls show all changes now."""
+    def _confirmed_kinds(self) -> set[str]:
+        """Return the kinds whose changes this VM's own calls currently show in full."""
         if self._timers.now() - self._client.answered_at > STORE_MAX_SILENCE_S:
             return set()
-        return {kind for kind in self._chains if self._followed[kind].fresh()}
+        return {kind for kind in self._logs if self._followed[kind].fresh()}
 
-    # What relays tell
+    # Receiving from relays
 
-    async def _on_word(self, sender, message: RelayHeartbeat) -> None:
-        self._role.note_word(sender.vm, bool(message.kinds))
-        vouched_for = {told.kind for told in message.kinds}
-        for kind in set(self._heard) - vouched_for:
-            self._heard[kind].pop(sender.incarnation, None)
+    async def _on_heartbeat(self, sender, message: RelayHeartbeat) -> None:
+        self._election.record_heartbeat(sender.vm, bool(message.kinds))
+        confirmed = {relayed.kind for relayed in message.kinds}
+        for kind in set(self._confirmations) - confirmed:
+            self._confirmations[kind].pop(sender.incarnation, None)
         for kind, since, until in message.kinds:
             if kind not in self._followed:
                 continue
-            self._heard[kind][sender.incarnation] = _Heard(self._timers.now(), since)
+            self._confirmations[kind][sender.incarnation] = _Confirmation(
+                self._timers.now(), since
+            )
             self._apply_changes(sender.vm, RelayedChanges(kind, since, until, ()))
 
     async def _on_changes(self, sender, message: RelayedChanges) -> None:
@@ -257,8 +265,8 @@
         kind = message.kind
         known = self._followed[kind].known
         events = _read_events(message.records)
-        told = (message.since, message.until, events)
-        if known.apply_changes(*told, message.names, message.compared_at):
+        changes = (message.since, message.until, events)
+        if known.apply_changes(*changes, message.names, message.compared_at):
             self._missing.discard(kind)
             return
         if known.until == NO_REVISION or self.is_relayed(kind):
@@ -275,30 +283,30 @@
             told_since=message.since,
         )
 
-    # What one VM asks another
+    # Fetching from other VMs
 
     async def fetch_at_start(self, kind: str) -> bool:
-        """Take all of a kind from a VM that tells this one; False if none does."""
+        """Fetch all objects of a kind from a source; return False if there is none."""
         sources = self._sources()
         return bool(sources) and await self._fetch_from(sources[0], kind)
 
     async def fetch(self, kind: str) -> bool:
-        """Take what other VMs know of a kind; False if none could tell.
+        """Fetch the objects of a kind from other VMs; return False if all failed.
 
-        For a VM that the store doesn't serve, while it may serve others. One that
-        starts would refuse all requests; one that missed a change would keep what was
-        in force before.
+        Used when the store doesn't serve this VM, while it may serve others. A starting
+        VM would otherwise refuse all requests; one that missed a change would keep the
+        previous state in force.
         """
-        starts = self._followed[kind].known.until == NO_REVISION
-        for vm in self._sources()[: MAX_FETCH_SOURCES if starts else 1]:
+        starting = self._followed[kind].known.until == NO_REVISION
+        for vm in self._sources()[: MAX_FETCH_SOURCES if starting else 1]:
             if await self._fetch_from(vm, kind):
                 return True
         return False
 
     def _sources(self) -> list[str]:
-        """Return the VMs that may be asked, another one first each time.
+        """Return the VMs to fetch from, starting with a different one each time.
 
-        In a large fleet these are heads, to which there are connections.
+        In a large fleet these are connected heads.
         """
         if self._mesh.large and self._mesh.upstream_head:
             return [self._mesh.upstream_head]
@@ -307,19 +315,19 @@
         else:
             vms = [peer.vm for peer in self._mesh.live]
         others = [vm for vm in vms if vm != self._memberships.vm]
-        self._asked += 1
-        first = self._asked % len(others) if others else 0
+        self._fetch_count += 1
+        first = self._fetch_count % len(others) if others else 0
         return others[first:] + others[:first]
 
     async def _catch_up(self, kind: str, relay: str) -> None:
-        """Ask for changes that were missed of what a relay told."""
+        """Fetch the changes that are missing before those that a relay sent."""
         source = self._mesh.upstream_head if self._mesh.large else ""
         if source and await self._fetch_from(source, kind) and self.is_relayed(kind):
             return
         await self._fetch_from(relay, kind)
 
     async def _fetch_from(self, vm: str, kind: str) -> bool:
-        """Take what a VM knows of a kind; False if it can't tell."""
+        """Fetch the objects that a VM knows of a kind; return False if it can't."""
         known = self._followed[kind].known
         since, until = known.until, None
         events: list[StoreEvent] = []
@@ -330,7 +338,7 @@
             if reply.is_err() or not reply.ok_value.known:
                 return False
             page = reply.ok_value
-            # What changed on a page since it was sent is told after its revision.
+            # Later changes to objects of a page are sent as changes after its revision.
             until = page.until if until is None else min(until, page.until)
             events += _read_events(page.records)
             names += page.names
@@ -348,31 +356,34 @@
         records, until = followed.known.records, followed.known.until
         if until <= message.since:
             return FetchedRecords(True, (), False, until)
-        told: list[RelayedRecord] = []
+        relayed_records: list[RelayedRecord] = []
         names: list[str] = []
         size = 0
         for name in sorted(name for name in records if name > message.after):
-            if size > FETCHED_BYTES:
-                return FetchedRecords(True, tuple(told), True, until, tuple(names))
+            if size > FETCH_PAGE_BYTES:
+                return FetchedRecords(
+                    True, tuple(relayed_records), True, until, tuple(names)
+                )
             names.append(name)
             size += len(name)
             if records[name].revision <= message.since:
                 continue
             relayed = relayed_record(name, records[name], records[name].revision)
             if relayed.size > MAX_RELAYED_BYTES:
-                # It is listed once the store is back; the others must not wait for it.
+                # It is listed once the store is available again; the other objects must
+                # not wait for it.
                 until = NO_REVISION
                 continue
             size += relayed.size
-            told.append(relayed)
-        return FetchedRecords(True, tuple(told), False, until, tuple(names))
+            relayed_records.append(relayed)
+        return FetchedRecords(True, tuple(relayed_records), False, until, tuple(names))
 
 
 def _read_events(records: Iterable[RelayedRecord]) -> tuple[StoreEvent, ...]:
-    """Return changes as the store would tell them.
+    """Decode changes into events of the store.
 
-    An object that the relay couldn't read is told as such, so that all VMs stop using
-    what it named at the same time.
+    An object that the relay couldn't read arrives as unreadable, so that all VMs stop
+    using it at the same time.
     """
     events = []
     for relayed in records:
--- a/hawthornlead/gateway/watchers.py
+++ b/hawthornlead/gateway/watchers.py
@@ -1,9 +1,9 @@
-"""Following one kind of the store's objects: list it, watch it, never go back.
+"""Watching one kind of the store's objects: list, then watch, never move backwards.
 
-Whoever follows a kind hands in callbacks::
+Changes go to callbacks::
 
-    watcher = KindWatcher("config", client=client, timers=timers, on_changed=take,
-                          on_deleted=drop, on_unreadable=warn)
+    watcher = KindWatcher("config", client=client, timers=timers, on_changed=apply,
+                          on_deleted=remove, on_unreadable=warn)
     watcher.start()
 """
 
@@ -20,39 +20,39 @@
 from .store_clients import WATCH_SLACK_S, StoreClient
 from .watch_relays import WatchRelays
 
-# A watch that waits longer finds out later that its answer was lost or its connection
-# went silent. With WATCH_SLACK_S and a listing this stays below the 3 s after which a
-# VM counts as in touch again and must heed new configurations.
-WAIT_S = 2.0
-# A watch that only asks what has changed until now.
+# How long a watch waits for changes. A longer wait detects a lost answer or a silent
+# connection later. Together with WATCH_SLACK_S and a listing this stays below the 3 s
+# after which a VM counts as connected again and must apply new configurations.
+WATCH_WAIT_S = 2.0
+# The wait of a watch that only requests the changes until now.
 NO_WAIT_S = 0.001
-# Between calls that failed; all VMs together must stay far below the store's rates.
+# Pauses after failed calls; all VMs together must stay far below the store's rates.
 RETRY_S = 0.4
-SOON_RETRIES = 4
-LATER_RETRY_S = 0.9
-# Where the history that a watch wants is gone, a kind is listed each RETRY_S instead.
-# All changes are known as long as the last listing isn't older than two of these.
-LISTED_FRESH_S = 0.8
-# How often a VM that is told looks whether it still is.
-TOLD_LOOK_S = 0.2
-LARGE_TOLD_LOOK_S = 0.4
-# A VM that starts in a large fleet asks its head so often for what there is, and turns
-# to the store if that takes longer than this. All VMs start at once.
-FETCH_AGAIN_S = 0.25
-FETCHED_WITHIN_S = 2.5
-# By then a VM that starts knows whether it is one of many, if the store answers at all.
-ROSTER_S = 0.1
-# In a large fleet all lose their relays at once. Their own calls are spread over this,
-# in which other relays have most often stepped in.
-SPREAD_S = 1.0
+MAX_FAST_RETRIES = 4
+SLOW_RETRY_S = 0.9
+# When the history that a watch requires is gone, the kind is listed every RETRY_S
+# instead. All changes are known while the last listing is at most two of these old.
+LISTING_MAX_AGE_S = 0.8
+# How often a VM checks whether relays still send it changes.
+RELAYED_POLL_INTERVAL_S = 0.2
+LARGE_RELAYED_POLL_INTERVAL_S = 0.4
+# A VM that starts in a large fleet fetches the objects from its head, and uses the
+# store only after this time-out, since all VMs may start at once.
+FETCH_RETRY_S = 0.25
+FETCH_TIMEOUT_S = 2.5
+# After this pause a starting VM knows whether the fleet is large, if the store answers.
+REGISTRATIONS_WAIT_S = 0.1
+# In a large fleet all VMs lose their relays at once. Their own calls are spread over
+# this time, in which other relays usually take over.
+FALLBACK_SPREAD_S = 1.0
 
 
 class KindWatcher:
-    """Tells changes of one kind, each object's in the order of its revisions.
+    """Reports changes of one kind, for each object in the order of its revisions.
 
-    After changes the watch pauses for ``pause_s``, so that a kind that changes all the
-    time costs few calls. A kind that is ``fetched`` is taken from a head at the start,
-    in a large fleet. What it does with objects is told by ``KindRecords``.
+    After changes the watch pauses for ``pause_s``, so that a kind with frequent changes
+    costs few calls. With ``fetched``, the objects are fetched from a head at the start,
+    in a large fleet. ``KindRecords`` describes how objects are applied.
     """
 
     def __init__(
@@ -94,13 +94,13 @@
         self._answered_at = 0.0
         self._listed_at = float("-inf")
         self._history_gone = False
-        self._was_told = False
-        self._way = ""
+        self._was_relayed = False
+        self._change_source = ""
         self._skipped = False
         self._listed = False
         self._answering = True
         self._lost_at = 0.0
-        self._back_at = 0.0
+        self._recovered_at = 0.0
         self._tasks = TaskSet()
         relays.follow(kind, self._known, self._is_fresh)
 
@@ -123,26 +123,26 @@
 
     @property
     def back_at(self) -> float:
-        """When the store began to answer again after it was lost; 0 if it never was."""
-        return self._back_at
+        """When the store last answered again after an outage; 0 if it had none."""
+        return self._recovered_at
 
     def start(self) -> None:
-        """Begin to list and watch."""
+        """Start listing and watching."""
         self._tasks.spawn(self._run())
 
     def stop(self) -> None:
-        """End the watch."""
+        """Stop watching."""
         self._tasks.cancel()
 
     async def _run(self) -> None:
         if self._fetched:
             await self._fetch_at_start()
         while True:
-            pause_s = self._told_pause_s()
+            pause_s = self._relayed_pause_s()
             if pause_s > 0:
                 await self._timers.sleep(pause_s)
                 continue
-            self._current = await self._ask_store()
+            self._current = await self._call_store()
             if self._current:
                 self._failures = 0
                 continue
@@ -152,64 +152,64 @@
             self._failures += 1
             if await self._relays.fetch(self._kind):
                 self._listed = True
-            soon = self._failures <= SOON_RETRIES or not self._listed
-            pause_s = RETRY_S if soon else LATER_RETRY_S
+            soon = self._failures <= MAX_FAST_RETRIES or not self._listed
+            pause_s = RETRY_S if soon else SLOW_RETRY_S
             await self._timers.sleep(pause_s * self._rng.uniform(0.5, 1.5))
 
-    async def _ask_store(self) -> bool:
-        """Ask the store once for what this VM doesn't know; whether it was told."""
+    async def _call_store(self) -> bool:
+        """Call the store once for missing changes; return whether that succeeded."""
         if self._history_gone or self._known.until == NO_REVISION:
             return await self._list()
-        return await self._watch(WAIT_S if self._current else NO_WAIT_S)
+        return await self._watch(WATCH_WAIT_S if self._current else NO_WAIT_S)
 
-    def _told_pause_s(self) -> float:
-        """Return how long no own call is needed, since relays tell all changes.
+    def _relayed_pause_s(self) -> float:
+        """Return for how long no own call is needed, since relays send all changes.
 
-        When they fall silent all VMs of a large fleet turn to the store, and their
+        When the relays fall silent, all VMs of a large fleet call the store, and their
         calls are spread.
         """
         large = self._relays.large
-        self._note_way()
-        if self._is_told():
-            self._was_told = True
-            return LARGE_TOLD_LOOK_S if large else TOLD_LOOK_S
-        spread = self._was_told and large and not self._relays.is_relay
-        self._was_told = False
-        return SPREAD_S * self._rng.random() if spread else 0.0
-
-    def _note_way(self) -> None:
+        self._record_change_source()
+        if self._is_relayed():
+            self._was_relayed = True
+            return LARGE_RELAYED_POLL_INTERVAL_S if large else RELAYED_POLL_INTERVAL_S
+        spread = self._was_relayed and large and not self._relays.is_relay
+        self._was_relayed = False
+        return FALLBACK_SPREAD_S * self._rng.random() if spread else 0.0
+
+    def _record_change_source(self) -> None:
         way = self._relays.change_source(self._kind)
-        if way != self._way:
-            self._way = way
+        if way != self._change_source:
+            self._change_source = way
             self._events.emit(EventKind.WAY_CHANGED, self._kind, way=way)
 
     async def _fetch_at_start(self) -> None:
-        """Take what there is from a head, where the fleet is large and one tells it.
+        """Fetch the objects from a head, if the fleet is large and there is a source.
 
-        Then a relay's word is waited for, which shows that nothing is missing.
+        Then wait for a relay's heartbeat, which shows that nothing is missing.
         """
-        await self._timers.sleep(ROSTER_S)
-        until = self._timers.now() + FETCHED_WITHIN_S
+        await self._timers.sleep(REGISTRATIONS_WAIT_S)
+        until = self._timers.now() + FETCH_TIMEOUT_S
         while self._relays.has_source and self._timers.now() < until:
             if not self._listed:
                 self._listed = await self._relays.fetch_at_start(self._kind)
             if self._listed and self._relays.is_relayed(self._kind):
                 return
-            await self._timers.sleep(FETCH_AGAIN_S)
+            await self._timers.sleep(FETCH_RETRY_S)
 
     async def _await_next_listing(self) -> None:
         """Wait before the kind is listed again because its history is gone.
 
-        The first time it is listed at once: a relay that paused here would vouch for
-        nothing, and all VMs would watch and list by themselves.
+        The first listing is immediate: a relay that paused here would confirm nothing,
+        and all VMs would watch and list by themselves.
         """
         pause_s = RETRY_S * self._rng.uniform(0.5, 1.5)
         wait_s = self._listed_at + pause_s - self._timers.now()
         if wait_s > 0:
             await self._timers.sleep(wait_s)
 
-    def _is_told(self) -> bool:
-        """Whether relays tell all changes, so that this VM needs no watch."""
+    def _is_relayed(self) -> bool:
+        """Whether relays send all changes, so that this VM needs no watch."""
         if not self._listed or self._relays.is_relay:
             return False
         if not self._relays.is_relayed(self._kind):
@@ -218,77 +218,80 @@
         return True
 
     def _is_fresh(self) -> bool:
-        """Whether this VM's own calls show all changes, as far as it can know."""
-        if self._timers.now() - self._listed_at < LISTED_FRESH_S:
+        """Whether this VM's own recent calls show all changes."""
+        if self._timers.now() - self._listed_at < LISTING_MAX_AGE_S:
             return True
-        answered_after = self._timers.now() - WAIT_S - WATCH_SLACK_S
+        answered_after = self._timers.now() - WATCH_WAIT_S - WATCH_SLACK_S
         return self._current and self._answered_at >= answered_after
 
     async def _list(self) -> bool:
-        began_at = self._timers.now()
+        started_at = self._timers.now()
         listed = await self._client.list_all(self._kind)
         if listed.is_err():
-            self._note_lost(listed.err_value.detail)
+            self._mark_lost(listed.err_value.detail)
             return False
-        self._note_back()
+        self._mark_recovered()
         found = listed.ok_value
-        self._note_skipped(found.skipped)
+        self._report_skipped(found.skipped)
         self._known.apply_listing(found.revision, found.events)
         self._listed = True
         self._history_gone = False
-        self._listed_at = began_at
+        self._listed_at = started_at
         self._relays.on_listed(self._kind, found.revision, found.events)
         return True
 
     async def _watch(self, wait_s: float) -> bool:
         """Wait for changes once; False if the history is gone or the call failed."""
-        began_at = self._timers.now()
+        started_at = self._timers.now()
         since = self._relays.watch_since(self._kind)
         outcome = await self._client.watch(self._kind, since, wait_s)
         if outcome.is_err():
-            self._note_lost(outcome.err_value.detail)
+            self._mark_lost(outcome.err_value.detail)
             return False
-        self._note_back()
+        self._mark_recovered()
         changes = outcome.ok_value
         if changes is None:
             self._history_gone = True
             return False
         if changes.skipped:
-            self._note_skipped(changes.skipped)
-        events = tuple([_dated(event, since) for event in changes.events])
+            self._report_skipped(changes.skipped)
+        events = tuple([_dated_after(event, since) for event in changes.events])
         self._known.apply_changes(since, changes.revision, events)
         self._relays.on_watched(self._kind, since, changes.revision, events)
-        if self._timers.now() - began_at > wait_s + WATCH_SLACK_S:
-            # This VM stood still meanwhile, and the answer is from before that.
+        if self._timers.now() - started_at > wait_s + WATCH_SLACK_S:
+            # This process was suspended during the call, and the answer is older.
             self._current = False
             return await self._watch(NO_WAIT_S)
         if events:
             await self._timers.sleep(self._pause_s)
         return True
 
-    def _note_skipped(self, skipped: int) -> None:
-        """Note objects without a readable name; told once until a listing has none."""
+    def _report_skipped(self, skipped: int) -> None:
+        """Report objects without a readable name, once until a listing has none."""
         if skipped and not self._skipped:
-            self._known.note_unnamed()
+            self._known.report_unnamed()
         self._skipped = skipped > 0
 
-    def _note_lost(self, detail: str) -> None:
+    def _mark_lost(self, detail: str) -> None:
         if self._answering:
             self._lost_at = self._timers.now()
             self._events.emit(EventKind.WATCH_LOST, self._kind, detail=detail)
         self._answering = False
 
-    def _note_back(self) -> None:
+    def _mark_recovered(self) -> None:
         self._answered_at = self._timers.now()
         if not self._answering:
-            self._back_at = self._timers.now()
-            away_s = round(self._back_at - self._lost_at, 3)
+            self._recovered_at = self._timers.now()
+            away_s = round(self._recovered_at - self._lost_at, 3)
             self._events.emit(EventKind.WATCH_BACK, self._kind, away_s=away_s)
         self._answering = True
 
 
-def _dated(event: StoreEvent, since: int) -> StoreEvent:
-    """Return a change after ``since``: a removal may bear the object's revision."""
+def _dated_after(event: StoreEvent, since: int) -> StoreEvent:
+    """Return a change dated after ``since``.
+
+    A removal may carry the revision of the object before the removal.
+    """
     if not event.deleted or event.record.revision > since:
         return event
     return event._replace(record=event.record._replace(revision=since + 1))
--- a/hawthornlead/tests/fakes_played_stores.py
+++ b/hawthornlead/tests/fakes_played_stores.py
@@ -131,7 +131,7 @@
         self._rng = rng
         self.answered_at = timers.now()
 
-    async def ask(self) -> None:
+    async def probe(self) -> None:
         """Ask for any object."""
         await self._answered(CALL_S)
 
--- a/hawthornlead/tests/spread_plays.py
+++ b/hawthornlead/tests/spread_plays.py
@@ -14,7 +14,7 @@
 
 import click
 
-from hawthornlead.gateway.watchers import WAIT_S
+from hawthornlead.gateway.watchers import WATCH_WAIT_S
 
 from .fakes_clocks import run_played
 from .fakes_played_stores import Refusal
@@ -148,7 +148,7 @@
         if not self._serves_some():
             self.disturb_store()
         wanted = self._acknowledged(self._bound_s)
-        settled = self._acknowledged(self._bound_s + WAIT_S)
+        settled = self._acknowledged(self._bound_s + WATCH_WAIT_S)
         for name, vm in fleet.vms.items():
             if fleet.disturbed(name):
                 fleet.disturb(name)
--- a/hawthornlead/tests/test_change_logs.py
+++ b/hawthornlead/tests/test_change_logs.py
@@ -204,16 +204,16 @@
 
 
 _apply_changes = KindRecords.apply_changes
-_is_news = ChangeLog._is_news
+_is_effective = ChangeLog._is_effective
 _listed = ChangeLog.listed
 
 
 def _passes_on_what_is_new_to_itself(monkeypatch):
     def is_news(self, event):
         known = event.record.revision <= self._known.until
-        return _is_news(self, event) and not known
+        return _is_effective(self, event) and not known
 
-    monkeypatch.setattr(ChangeLog, "_is_news", is_news)
+    monkeypatch.setattr(ChangeLog, "_is_effective", is_news)
 
 
 def _lists_without_names(monkeypatch):
@@ -242,7 +242,7 @@
 def _takes_old_changes(monkeypatch):
     def apply_changes(self, since, until, changes, *told):
         for event in changes:
-            self._take(event)
+            self._apply(event)
         return _apply_changes(self, since, until, changes, *told)
 
     monkeypatch.setattr(KindRecords, "apply_changes", apply_changes)
--- a/hawthornlead/tests/test_relay_elections.py
+++ b/hawthornlead/tests/test_relay_elections.py
@@ -41,7 +41,7 @@
     for _ in range(round(seconds / 0.05)):
         for role in roles:
             for vm in NAMES[:2]:
-                role.note_word(vm, vm in vouching)
+                role.record_heartbeat(vm, vm in vouching)
         await timers.advance(0.05)
 
 
@@ -100,20 +100,20 @@
         vm.stop()
     a.watchers["config"]._known.apply_listing(7, ())
     c.watchers["config"]._known.apply_listing(7, ())
-    await a.relays._on_word(
+    await a.relays._on_heartbeat(
         b.mesh.myself, RelayHeartbeat((RelayedKind("config", 7, 8),))
     )
     record = RelayedRecord("x", 9, '[{"n": 1}, null]')
     changes = RelayedChanges("config", 7, 9, (record,))
     await a.relays._on_changes(b.mesh.myself, changes)
     assert a.relays.is_relayed("config")
-    await a.relays._on_word(b.mesh.myself, RelayHeartbeat(()))
+    await a.relays._on_heartbeat(b.mesh.myself, RelayHeartbeat(()))
     assert not a.relays.is_relayed("config")
     word = RelayHeartbeat((RelayedKind("config", 9, 9),))
-    await a.relays._on_word(c.mesh.myself, word)
+    await a.relays._on_heartbeat(c.mesh.myself, word)
     assert a.relays.is_relayed("config")
     # One that missed what the first relay told last must ask.
-    await c.relays._on_word(a.mesh.myself, word)
+    await c.relays._on_heartbeat(a.mesh.myself, word)
     assert not c.relays.is_relayed("config")
     await site.stop()
 
@@ -125,13 +125,13 @@
     for vm in (a, b, c):
         vm.stop()
     a.watchers["config"]._known.apply_listing(7, ())
-    await a.relays._on_word(
+    await a.relays._on_heartbeat(
         b.mesh.myself, RelayHeartbeat((RelayedKind("config", 7, 7),))
     )
-    await a.relays._on_word(
+    await a.relays._on_heartbeat(
         c.mesh.myself, RelayHeartbeat((RelayedKind("config", 3, 8),))
     )
-    await a.relays._on_word(b.mesh.myself, RelayHeartbeat(()))
+    await a.relays._on_heartbeat(b.mesh.myself, RelayHeartbeat(()))
     assert a.relays.is_relayed("config")
     await site.stop()
 
@@ -146,7 +146,7 @@
     a.mesh.broadcast = told.append
     a.watchers["config"]._known.apply_listing(5, ())
     a.relays._relaying = True
-    a.relays._begin_chain("config")
+    a.relays._start_log("config")
     record = RelayedRecord("x", 6, '[{"n": 1}, null]')
     await a.relays._on_changes(b.mesh.myself, RelayedChanges("config", 5, 6, (record,)))
     seen = StoredRecord("x", 6, {"n": 1}, None)
--- a/hawthornlead/tests/test_watchers.py
+++ b/hawthornlead/tests/test_watchers.py
@@ -190,15 +190,15 @@
     a = Follower(network, timers, store, "a")
     b = Follower(network, timers, store, "b")
     sender = b.mesh.myself
-    await a.relays._on_word(sender, RelayHeartbeat((RelayedKind("things", 4, 6),)))
+    await a.relays._on_heartbeat(sender, RelayHeartbeat((RelayedKind("things", 4, 6),)))
     assert not a.relays.is_relayed("things")
     a.watcher._known.apply_listing(5, ())
     assert a.relays.is_relayed("things")
     record = RelayedRecord("t", 7, '[{"n": 7}, null]')
     await a.relays._on_changes(sender, RelayedChanges("things", 4, 7, (record,)))
-    await a.relays._on_word(sender, RelayHeartbeat((RelayedKind("things", 7, 8),)))
+    await a.relays._on_heartbeat(sender, RelayHeartbeat((RelayedKind("things", 7, 8),)))
     assert a.relays.is_relayed("things")
-    await a.relays._on_word(sender, RelayHeartbeat((RelayedKind("things", 9, 9),)))
+    await a.relays._on_heartbeat(sender, RelayHeartbeat((RelayedKind("things", 9, 9),)))
     assert not a.relays.is_relayed("things")
     # What is told beyond a gap is taken, and closes no gap.
     later = RelayedRecord("t", 11, '[{"n": 11}, null]')
@@ -314,11 +314,11 @@
     b = Follower(network, timers, store, "b")
     sender = b.mesh.myself
     a.watcher._known.apply_listing(4, ())
-    await a.relays._on_word(sender, RelayHeartbeat((RelayedKind("things", 4, 4),)))
+    await a.relays._on_heartbeat(sender, RelayHeartbeat((RelayedKind("things", 4, 4),)))
     assert a.relays.is_relayed("things")
-    await a.relays._on_word(sender, RelayHeartbeat(()))
+    await a.relays._on_heartbeat(sender, RelayHeartbeat(()))
     assert not a.relays.is_relayed("things")
-    await a.relays._on_word(sender, RelayHeartbeat((RelayedKind("things", 4, 4),)))
+    await a.relays._on_heartbeat(sender, RelayHeartbeat((RelayedKind("things", 4, 4),)))
     assert a.relays.is_relayed("things")
     a.stop()
     b.stop()
@@ -327,13 +327,13 @@
 async def test_a_store_that_turns_this_vm_away_has_not_answered_it(store):
     timers = TimerService()
     follower = Follower(LocalNetwork(timers), timers, store, "a")
-    await follower.client.ask()
+    await follower.client.probe()
     answered_at = follower.client.answered_at
     store.fault = "busy"
-    await follower.client.ask()
+    await follower.client.probe()
     assert follower.client.answered_at == answered_at
     store.fault = ""
-    await follower.client.ask()
+    await follower.client.probe()
     assert follower.client.answered_at > answered_at
     follower.stop()
 
