--- a/hawthornlead/gateway/observed_targets.py
+++ b/hawthornlead/gateway/observed_targets.py
@@ -57,7 +57,7 @@
         states = zip(held.versions, held.ready, strict=False)
         self._held = dict(zip(keys, states, strict=False))
         for key in before.keys() - self._held.keys():
-            self._recent.note(key)
+            self._recent.add(key)
 
     def on_released(self, vm: str, fence: int) -> None:
         """Clear the owner after its release, and ignore its earlier reports.
