--- a/hawthornlead/gateway/gateways.py
+++ b/hawthornlead/gateway/gateways.py
@@ -297,8 +297,8 @@
             VMS_KIND: KindWatcher(
                 VMS_KIND,
                 **common,
-                on_changed=memberships.take,
-                on_deleted=memberships.drop,
+                on_changed=memberships.apply_record,
+                on_deleted=memberships.remove,
                 on_unreadable=memberships.on_unreadable_record,
                 pause_s=VMS_PAUSE_S,
             ),
--- a/hawthornlead/gateway/memberships.py
+++ b/hawthornlead/gateway/memberships.py
@@ -1,8 +1,8 @@
 """Which VMs there are, and which of them callers are sent to.
 
-Each VM registers itself in the store. Whether it still lives is seen on the mesh: a VM
+Each VM registers itself in the store. Whether it is live is observed on the mesh: a VM
 that is frozen, cut off or gone falls silent there within a second, while its object
-in the store stays. In a large fleet the heads tell of it.
+in the store stays. In a large fleet the heads report it.
 """
 
 from collections import Counter
@@ -24,28 +24,29 @@
 from .store_clients import StoreClient
 
 VMS_KIND = "hawthornlead-vms"
-# A VM that was silent for so long is left out of answers. Callers give a new
-# connection one second, so that waiting longer costs them a try. In a small fleet each
-# VM tells all others of its requests, four times in this time.
-SILENT_S = 1.0
-# In a large fleet its head says of a VM within 1.4 s that it is silent; this bears that
-# a VM hears nothing for a moment, as it turns from one head to another.
-LARGE_SILENT_S = 2.0
-MOST_ADDRESSES = 64
-# So many VMs own all targets of a large fleet, since each of them renews a lease and
-# each other VM opens a connection with it.
-MOST_OWNERS = 16
-# How old a look at the mesh may be: small beside SILENT_S and LARGE_SILENT_S.
-LOOK_S = 0.1
-LARGE_LOOK_S = 0.4
-# By this name all VMs agree on the order of those that registered at the same time.
-ELDEST_NAME = "eldest"
-MOST_ORDERS = 4096
+# A VM is left out of answers after this much silence. Callers give a new connection one
+# second, so a longer time-out costs them an attempt. In a small fleet each VM announces
+# its requests to all others four times within this time.
+SILENCE_TIMEOUT_S = 1.0
+# In a large fleet its head reports a VM as silent within 1.4 s; this allows for the
+# moment without updates while a VM switches from one head to another.
+LARGE_SILENCE_TIMEOUT_S = 2.0
+MAX_ADDRESSES = 64
+# The number of VMs that own all targets of a large fleet. It is small since each owner
+# renews a lease and each other VM opens a connection with it.
+MAX_OWNERS = 16
+# How old the observed state of the mesh may be: small beside SILENCE_TIMEOUT_S and
+# LARGE_SILENCE_TIMEOUT_S.
+SNAPSHOT_MAX_AGE_S = 0.1
+LARGE_SNAPSHOT_MAX_AGE_S = 0.4
+# All VMs order those that registered at the same time by this rendezvous key.
+OLDEST_ORDER_KEY = "eldest"
+MAX_CACHED_ORDERS = 4096
 REGISTER_RETRY_S = 0.5
 
 
 class Memberships:
-    """This VM's registration, and what it knows of the others.
+    """This VM's registration, and the observed state of the other VMs.
 
     ::
 
@@ -71,18 +72,18 @@
         self._mesh = mesh
         self._timers = timers
         self._rng = rng
-        self._looked_at: float | None = None
-        self._heard: frozenset[str] = frozenset()
-        self._heard_after = 0.0
+        self._refreshed_at: float | None = None
+        self._recently_seen: frozenset[str] = frozenset()
+        self._seen_after = 0.0
         self._large = False
         self._live: tuple[str, ...] = ()
         self._orders: dict[str, list[str]] = {}
-        self._eldest: list[str] = []
+        self._oldest: list[str] = []
         self._owners: frozenset[str] = frozenset()
         self._serving = False
         self._registered = False
         self._tasks = TaskSet()
-        # Called once with whether this VM had registered before, in an earlier process.
+        # Called once, with whether an earlier process of this VM had registered.
         self.on_registered: Callable[[bool], None] = lambda again: None
 
     @property
@@ -112,126 +113,126 @@
 
     @property
     def large(self) -> bool:
-        """Whether there are so many VMs that they hear of each other through heads."""
-        self._look()
+        """Whether the fleet is so large that updates go through heads."""
+        self._refresh()
         return self._large
 
     @property
     def mostly_serving(self) -> bool:
-        """Whether at least half of the VMs that are heard take callers."""
-        self._look()
-        return 2 * len(self._live) >= len(self._heard) + 1
+        """Whether at least half of the recently seen VMs serve callers."""
+        self._refresh()
+        return 2 * len(self._live) >= len(self._recently_seen) + 1
 
     @property
     def seen_share(self) -> float:
-        """Which part of all VMs that stay is heard, this one included."""
-        self._look()
-        heard = len(self._heard) + 1
-        return heard / max(heard, self._registered_order.count)
+        """The recently seen share of all VMs that aren't leaving, with this one."""
+        self._refresh()
+        seen = len(self._recently_seen) + 1
+        return seen / max(seen, self._registered_order.count)
 
     @property
     def known(self) -> tuple[str, ...]:
-        """The VMs that registered themselves, and those that the mesh reaches."""
-        reached = [peer.vm for peer in self._mesh.live]
-        return tuple({*self._registered_order.records, *reached})
+        """The registered VMs, and those that are live on the mesh."""
+        live = [peer.vm for peer in self._mesh.live]
+        return tuple({*self._registered_order.records, *live})
 
     def start(self) -> None:
-        """Begin to register."""
+        """Start registering this VM."""
         self._tasks.spawn(self._register())
 
     def stop(self) -> None:
-        """End what is under way."""
+        """Cancel what is under way."""
         self._tasks.cancel()
 
     def mark_serving(self, serving: bool) -> None:
-        """Note whether this VM knows enough to serve callers."""
+        """Set whether this VM is ready to serve callers."""
         if serving != self._serving:
             self._events.emit(EventKind.READINESS_CHANGED, self.vm, ready=serving)
         self._serving = serving
 
     def leave(self) -> None:
-        """Take this VM out of all answers; the other VMs are told at once."""
+        """Take this VM out of all answers; notify the other VMs at once."""
         self._record = self._record._replace(leaving=True)
-        self._looked_at = None
+        self._refreshed_at = None
         self._mesh.heartbeat_changed()
         self._tasks.spawn(self._register())
 
     def own_state(self) -> MemberState:
-        """Return what the other VMs are told of this one."""
+        """Return the state that this VM announces to the others."""
         return MemberState(self.vm, self.incarnation, self.serving, self.leaving)
 
-    def take(self, record: StoredRecord) -> None:
-        """Note a VM's object in the store."""
+    def apply_record(self, record: StoredRecord) -> None:
+        """Apply a VM's object of the store."""
         self._registered_order.apply(read_vm(record), record.revision)
-        self._forget_orders()
+        self._discard_orders()
 
     def on_unreadable_record(self, name: str) -> None:
-        """Note that a VM's object can't be read: what was known of the VM stays.
+        """Keep the last readable state of a VM whose object can't be read.
 
-        Whether it lives is seen on the mesh and not in its object, and callers are
-        sent to a VM only while it is heard under the incarnation that its last readable
-        object named. So the VM isn't kept longer than it lives, and a writer that
-        spoils all objects of this kind can't part the VMs from one another. The VM
-        itself mends its object, or those that start later would never know it.
+        Whether a VM is live is observed on the mesh, not in its object, and callers are
+        sent to a VM only while it is seen under the incarnation of its last readable
+        object. So a dead VM isn't kept, and a writer that corrupts all objects of this
+        kind can't separate the VMs from one another. The VM itself repairs its object;
+        otherwise VMs that start later would never know it.
         """
         if name == self.vm:
             self._tasks.spawn_once("mend", self._register)
 
-    def drop(self, name: str) -> None:
-        """Note that a VM's object was removed."""
+    def remove(self, name: str) -> None:
+        """Remove a VM whose object was deleted."""
         self._registered_order.remove(name)
-        self._forget_orders()
+        self._discard_orders()
 
     def record_of(self, vm: str) -> VmRecord | None:
-        """Return how a VM registered itself, None if it is unknown."""
+        """Return a VM's registration, None if it is unknown."""
         return self._registered_order.records.get(vm)
 
     def live(self) -> tuple[str, ...]:
-        """Return this VM and those heard lately that aren't leaving."""
-        self._look()
+        """Return this VM and the recently seen VMs that aren't leaving."""
+        self._refresh()
         return self._live
 
     def recently_seen(self) -> frozenset[str]:
-        """Return the other VMs that were heard lately, those that leave included."""
-        self._look()
-        return self._heard
+        """Return the other recently seen VMs, including those that are leaving."""
+        self._refresh()
+        return self._recently_seen
 
     def is_reachable(self, vm: str) -> bool:
-        """Whether a VM is this one or was heard lately."""
-        self._look()
-        return vm == self.vm or vm in self._heard
+        """Whether a VM is this one or was recently seen."""
+        self._refresh()
+        return vm == self.vm or vm in self._recently_seen
 
     def order_for(self, key: str) -> list[str]:
-        """Return the live VMs in the order in which all agree for a key."""
-        self._look()
+        """Return the live VMs in the rendezvous order of a key, same on all VMs."""
+        self._refresh()
         order = self._orders.get(key)
         if order is None:
             order = self._orders[key] = rendezvous(key, self._live)
         return order
 
-    def eldest(self, count: int) -> list[str]:
-        """Return the live VMs that registered first.
+    def oldest(self, count: int) -> list[str]:
+        """Return the live VMs with the oldest registrations.
 
         They stay the same while others are restarted, each of which registers anew.
         """
-        self._look()
-        if not self._eldest:
-            order = self.order_for(ELDEST_NAME)
-            self._eldest = sorted(order, key=self._registered_order.registered_at)
-        return self._eldest[:count]
+        self._refresh()
+        if not self._oldest:
+            order = self.order_for(OLDEST_ORDER_KEY)
+            self._oldest = sorted(order, key=self._registered_order.registered_at)
+        return self._oldest[:count]
 
     def relay_order(self, count: int) -> list[str]:
-        """Return the live VMs that may watch the store for all, the eldest first.
+        """Return the live VMs that may relay the store, oldest registrations first.
 
         In a large fleet the heads come before the others: the first two of each data
         centre.
         """
-        self._look()
+        self._refresh()
         if not self._large:
-            return self.eldest(count)
+            return self.oldest(count)
         heads, others = [], []
         taken: Counter[str] = Counter()
-        for vm in self.eldest(len(self._live)):
+        for vm in self.oldest(len(self._live)):
             record = self._registered_order.records.get(vm)
             if record is None or taken[record.data_centre] >= HEADS_PER_DATA_CENTRE:
                 others.append(vm)
@@ -243,8 +244,8 @@
     def owners_for(self, target: str) -> list[str]:
         """Return the live VMs in the order in which they should own a target.
 
-        In a large fleet a few VMs come first for all targets: those that registered
-        first, but not the heads, which have more to do than others.
+        In a large fleet a few VMs come first for all targets: those with the oldest
+        registrations except the heads, which carry more load than others.
         """
         order = self.order_for(target)
         if not self._large:
@@ -255,48 +256,50 @@
 
     def _choose_owners(self) -> frozenset[str]:
         heads: set[str] = set()
-        for place in self._registered_order.data_centres:
+        for centre in self._registered_order.data_centres:
             heads.update(
-                self._registered_order.oldest_first(place)[:HEADS_PER_DATA_CENTRE]
+                self._registered_order.oldest_first(centre)[:HEADS_PER_DATA_CENTRE]
             )
-        eldest = [vm for vm in self.eldest(len(self._live)) if vm not in heads]
-        return frozenset(eldest[:MOST_OWNERS])
+        oldest = [vm for vm in self.oldest(len(self._live)) if vm not in heads]
+        return frozenset(oldest[:MAX_OWNERS])
 
-    def _look(self) -> None:
-        """Look at the mesh, unless that was done a moment ago.
+    def _refresh(self) -> None:
+        """Update the observed state from the mesh, unless it is recent.
 
-        A request asks of each target whether its owner is heard.
+        It is cached because a request checks for each target whether its owner is seen.
         """
         now = self._timers.now()
-        look_s = LARGE_LOOK_S if self._large else LOOK_S
-        if self._looked_at is not None and now - self._looked_at < look_s:
+        max_age_s = LARGE_SNAPSHOT_MAX_AGE_S if self._large else SNAPSHOT_MAX_AGE_S
+        if self._refreshed_at is not None and now - self._refreshed_at < max_age_s:
             return
-        self._looked_at = now
+        self._refreshed_at = now
         peers = self._mesh.live
         self._large = max(self._registered_order.count, len(peers) + 1) > MAX_MESHED_VMS
-        silent_s = LARGE_SILENT_S if self._large else SILENT_S
-        self._heard_after = heard_after = now - silent_s
-        self._heard = frozenset(
-            [peer.vm for peer in peers if peer.last_seen_at >= heard_after]
+        silence_timeout_s = (
+            LARGE_SILENCE_TIMEOUT_S if self._large else SILENCE_TIMEOUT_S
+        )
+        self._seen_after = seen_after = now - silence_timeout_s
+        self._recently_seen = frozenset(
+            [peer.vm for peer in peers if peer.last_seen_at >= seen_after]
         )
         names = [] if self._record.leaving else [self.vm]
         names += [peer.vm for peer in peers if self._is_live(peer)]
         if tuple(names) != self._live:
             self._live = tuple(names)
             self._orders.clear()
-            self._forget_orders()
-        elif len(self._orders) > MOST_ORDERS:
+            self._discard_orders()
+        elif len(self._orders) > MAX_CACHED_ORDERS:
             self._orders.clear()
 
-    def _forget_orders(self) -> None:
-        """Drop what was worked out of who registered when."""
-        self._eldest = []
+    def _discard_orders(self) -> None:
+        """Discard the orders that depend on registrations."""
+        self._oldest = []
         self._owners = frozenset()
 
     def entry_addresses(self) -> tuple[str, ...]:
-        """Return where callers may connect now, in random order."""
+        """Return the addresses for callers to connect to, in random order."""
         addresses = [self._record.caller_address] if self.serving else []
-        self._look()
+        self._refresh()
         for peer in self._mesh.live:
             known = self._registered_order.records.get(peer.vm)
             if known is None or known.incarnation != peer.incarnation:
@@ -307,40 +310,42 @@
                 continue
             addresses.append(known.caller_address)
         self._rng.shuffle(addresses)
-        return tuple(addresses[:MOST_ADDRESSES])
+        return tuple(addresses[:MAX_ADDRESSES])
 
     def _is_live(self, peer) -> bool:
         if peer.heartbeat is None or peer.heartbeat.draining:
             return False
-        return peer.last_seen_at >= self._heard_after
+        return peer.last_seen_at >= self._seen_after
 
     async def _register(self) -> None:
-        """Write this VM's object until the store has taken it."""
+        """Write this VM's object until the store accepts it."""
         record = self._record
         spec = vm_spec(record)
         while record is self._record:
-            written = await put(self._client, VMS_KIND, self.vm, spec)
+            written = await upsert(self._client, VMS_KIND, self.vm, spec)
             if written is not None:
                 self._events.emit(EventKind.VM_REGISTERED, self.vm, **spec)
-                self._note_registered(written.created)
+                self._on_written(written.created)
                 return
             await self._timers.sleep(REGISTER_RETRY_S * self._rng.uniform(0.5, 1.5))
 
-    def _note_registered(self, created: bool) -> None:
+    def _on_written(self, created: bool) -> None:
         if not self._registered:
             self._registered = True
             self.on_registered(not created)
 
 
 class Written(NamedTuple):
-    """An object as the store took it; ``created`` if there was none before."""
+    """An object as the store accepted it; ``created`` if there was none before."""
 
     record: StoredRecord
     created: bool
 
 
-async def put(client: StoreClient, kind: str, name: str, spec: dict) -> Written | None:
-    """Write an object that only this VM writes; None if the store didn't take it."""
+async def upsert(
+    client: StoreClient, kind: str, name: str, spec: dict
+) -> Written | None:
+    """Write an object that only this VM writes; None if the store didn't accept it."""
     created = await client.create(kind, name, spec)
     if created.is_ok():
         return Written(created.ok_value, True)
--- a/hawthornlead/gateway/store_clients.py
+++ b/hawthornlead/gateway/store_clients.py
@@ -1,7 +1,7 @@
-"""The platform's store over HTTP: conditional writes, listings and watches.
+"""A client of the platform's store over HTTP: conditional writes, listings and watches.
 
-Every call has a time-out of its own, because a connection that something on the way
-has forgotten stays silent for good while new ones work::
+Every call has its own time-out, because a connection whose state is lost on the network
+path stays silent for good while new ones work::
 
     client = StoreClient(address="10.0.0.2:9000", timers=timers)
     found = await client.get("owners", "engine-3")
@@ -32,17 +32,17 @@
 from .records import StoreChanges, StoredRecord
 
 # The store answers within milliseconds; a slow one takes up to a hundred times as long.
-CALL_S = 1.0
-CONNECT_S = 0.6
+CALL_TIMEOUT_S = 1.0
+CONNECT_TIMEOUT_S = 0.6
 # How much longer than its wait a watch may take before its connection counts as dead.
 WATCH_SLACK_S = 0.6
 MAX_CALLS = 64
-# Answers of a store that is there and serves nothing, or not this VM.
+# Status codes of a store that is up but doesn't serve this VM, or serves nobody.
 TURNED_AWAY = frozenset((429, 503))
-GONE_STATUS = 404
-# The cheapest object to ask for: the operator keeps one configuration, and an answer
-# that it isn't there is an answer too.
-ASKED_FOR = (CONFIGURATION_KIND, "asked-for")
+NOT_FOUND = 404
+# The cheapest object to read: there is one configuration only, and the answer that this
+# one doesn't exist is an answer too.
+PROBED_OBJECT = (CONFIGURATION_KIND, "asked-for")
 MAX_LIST_BYTES = 1 << 26
 
 
@@ -73,7 +73,7 @@
         return self._answered_at
 
     def close(self) -> None:
-        """End all calls."""
+        """Close the client and end all calls."""
         self._client.close()
 
     async def get(self, kind: str, name: str) -> Result[StoredRecord | None, Failure]:
@@ -82,13 +82,13 @@
         if answer.is_err():
             return answer
         status, body = answer.ok_value
-        if status == GONE_STATUS:
+        if status == NOT_FOUND:
             return Ok(None)
         return _parsed(status, body, read_record)
 
     async def probe(self) -> None:
-        """Ask for an object that need not be there; ``answered_at`` tells if it was."""
-        await self._call("GET", stale_object_path(*ASKED_FOR))
+        """Read an object that need not exist, to update ``answered_at``."""
+        await self._call("GET", stale_object_path(*PROBED_OBJECT))
 
     async def create(
         self, kind: str, name: str, spec: dict
@@ -103,20 +103,20 @@
     ) -> Result[StoredRecord, Failure]:
         """Replace an object; ``VERSION_CONFLICT`` if it is not at ``revision``.
 
-        An object that is gone isn't either. Taken for a store that is away, it was
-        never created again: a VM whose lease object went had no lease for good.
+        A deleted object fails the same way. If it counted as a store failure, a VM
+        whose lease object was deleted would never create it again.
         """
         body = object_body(name, spec, revision)
         answer = await self._call("PUT", object_path(kind, name), body)
-        if answer.is_ok() and answer.ok_value[0] == GONE_STATUS:
+        if answer.is_ok() and answer.ok_value[0] == NOT_FOUND:
             return Err(Failure(ErrorKind.VERSION_CONFLICT, "the object is gone"))
         return answer.and_then(lambda got: _parsed(*got, read_record))
 
     async def list_all(self, kind: str) -> Result[StoreChanges, Failure]:
         """Return all objects of a kind as changes, and where to watch from.
 
-        That is where the first page was read: what changes on a page while the later
-        ones are read would otherwise never be told.
+        That is the revision of the first page: changes to a page while later ones are
+        read would otherwise be missed.
         """
         records = []
         skipped = 0
@@ -135,7 +135,7 @@
             if not found.more:
                 return Ok(StoreChanges(tuple(records), revision, skipped))
             if not found.records:
-                # Taken as whole, the listing would remove all objects after these.
+                # Taken as complete, the listing would remove all later objects.
                 return Err(_unavailable("a page has no name to go on from"))
             after = found.records[-1].name
 
@@ -153,14 +153,14 @@
         return _parsed(status, body, read_changes)
 
     async def _call(
-        self, method: str, path: str, body: dict | None = None, timeout_s=CALL_S
+        self, method: str, path: str, body: dict | None = None, timeout_s=CALL_TIMEOUT_S
     ) -> Result[tuple[int, bytes], Failure]:
         request = HTTPRequest(
             self._url + path,
             method=method,
             headers={"Content-Type": "application/json"},
             body=None if body is None else json.dumps(body),
-            connect_timeout=CONNECT_S,
+            connect_timeout=CONNECT_TIMEOUT_S,
             request_timeout=timeout_s,
             follow_redirects=False,
             decompress_response=False,
@@ -180,13 +180,13 @@
         return Ok((response.code, response.body))
 
     def _fetch(self, request: HTTPRequest) -> asyncio.Future:
-        """Begin a call that ends by itself, also if nobody waits for it any more.
+        """Start a call that ends by itself even if its caller is cancelled.
 
-        A watch that is cancelled as its VM stops would leave a call whose error nobody
-        takes; each was logged as an error of the program.
+        A watch that is cancelled while its VM stops leaves a call whose exception
+        nobody retrieves, which would be logged as an error of the program.
         """
         fetching = self._client.fetch(request, raise_error=False)
-        fetching.add_done_callback(_take_error)
+        fetching.add_done_callback(_retrieve_exception)
         return fetching
 
     def _count(self, outcome: str) -> None:
@@ -194,7 +194,7 @@
             self._metrics.store_calls.labels(outcome).inc()
 
 
-def _take_error(fetching: asyncio.Future) -> None:
+def _retrieve_exception(fetching: asyncio.Future) -> None:
     if not fetching.cancelled():
         fetching.exception()
 
--- a/hawthornlead/tests/fakes_played_stores.py
+++ b/hawthornlead/tests/fakes_played_stores.py
@@ -16,7 +16,7 @@
 
 from hawthornlead.errors import ErrorKind, Failure
 from hawthornlead.gateway.records import StoreChanges, StoredRecord, StoreEvent
-from hawthornlead.gateway.store_clients import CALL_S, WATCH_SLACK_S
+from hawthornlead.gateway.store_clients import CALL_TIMEOUT_S, WATCH_SLACK_S
 
 from .fakes_clocks import PlayedTimers
 
@@ -133,17 +133,17 @@
 
     async def probe(self) -> None:
         """Ask for any object."""
-        await self._answered(CALL_S)
+        await self._answered(CALL_TIMEOUT_S)
 
     async def get(self, kind: str, name: str) -> Result[StoredRecord | None, Failure]:
         """Return one object, None if there is none of this name."""
-        if not await self._answered(CALL_S):
+        if not await self._answered(CALL_TIMEOUT_S):
             return _unavailable()
         return Ok(self._store.record(kind, name))
 
     async def create(self, kind, name, spec) -> Result[StoredRecord, Failure]:
         """Create an object; ``VERSION_CONFLICT`` if there is one."""
-        if not await self._answered(CALL_S):
+        if not await self._answered(CALL_TIMEOUT_S):
             return _unavailable()
         if self._store.record(kind, name) is not None:
             return Err(Failure(ErrorKind.VERSION_CONFLICT, "it exists"))
@@ -151,7 +151,7 @@
 
     async def replace(self, kind, name, spec, revision):
         """Replace an object; ``VERSION_CONFLICT`` if it is at another revision."""
-        if not await self._answered(CALL_S):
+        if not await self._answered(CALL_TIMEOUT_S):
             return _unavailable()
         known = self._store.record(kind, name)
         if known is None or known.revision != revision:
@@ -160,7 +160,7 @@
 
     async def list_all(self, kind: str) -> Result[StoreChanges, Failure]:
         """Return all objects of a kind, and where to watch from."""
-        if not await self._answered(CALL_S):
+        if not await self._answered(CALL_TIMEOUT_S):
             return _unavailable()
         changes = StoreChanges(self._store.records(kind), self._store.revision)
         return Ok(changes) if await self._come_back() else _unavailable()
--- a/hawthornlead/tests/fakes_spread.py
+++ b/hawthornlead/tests/fakes_spread.py
@@ -229,8 +229,8 @@
             VMS_KIND: KindWatcher(
                 VMS_KIND,
                 **common,
-                on_changed=self.memberships.take,
-                on_deleted=self.memberships.drop,
+                on_changed=self.memberships.apply_record,
+                on_deleted=self.memberships.remove,
                 on_unreadable=self.memberships.on_unreadable_record,
                 pause_s=0.2,
             ),
--- a/hawthornlead/tests/following_vms.py
+++ b/hawthornlead/tests/following_vms.py
@@ -112,8 +112,8 @@
             VMS_KIND: KindWatcher(
                 VMS_KIND,
                 **common,
-                on_changed=self.memberships.take,
-                on_deleted=self.memberships.drop,
+                on_changed=self.memberships.apply_record,
+                on_deleted=self.memberships.remove,
                 on_unreadable=self.memberships.on_unreadable_record,
             ),
         }
--- a/hawthornlead/tests/test_memberships.py
+++ b/hawthornlead/tests/test_memberships.py
@@ -6,7 +6,7 @@
 from hawthornlead.events import EventRing
 from hawthornlead.fleet.fleet_meshes import MAX_MESHED_VMS
 from hawthornlead.fleet.registered_orders import RegisteredOrder
-from hawthornlead.gateway.memberships import MOST_OWNERS, Memberships
+from hawthornlead.gateway.memberships import MAX_OWNERS, Memberships
 from hawthornlead.gateway.records import VmRecord
 from hawthornlead.gateway.relay_elections import STEP_IN_S, RelayElection
 from hawthornlead.messages import Heartbeat
@@ -46,12 +46,12 @@
         record = VmRecord(name, f"{name}-{revision}", place, "x:1", "x:2", False)
         self.registered_order.apply(record, revision)
         for memberships in self.memberships:
-            memberships._forget_orders()
+            memberships._discard_orders()
 
     def look_again(self):
         """Let all VMs hear all others anew."""
         for memberships in self.memberships:
-            memberships._looked_at = None
+            memberships._refreshed_at = None
 
 
 def first_owners(memberships, targets):
@@ -66,7 +66,7 @@
     fleet = Fleet(vms=88)
     targets = [f"e{number}" for number in range(70)]
     owners = first_owners(fleet.memberships[0], targets)
-    assert len(set(owners)) <= MOST_OWNERS
+    assert len(set(owners)) <= MAX_OWNERS
     assert max(owners.count(vm) for vm in set(owners)) <= 10
     assert first_owners(fleet.memberships[50], targets) == owners
     order = fleet.memberships[0].owners_for("e1")
@@ -100,15 +100,15 @@
     memberships = fleet.memberships[30]
     targets = [f"e{number}" for number in range(20)]
     owners = first_owners(memberships, targets)
-    assert memberships.eldest(2) == ["vm-0", "vm-1"]
+    assert memberships.oldest(2) == ["vm-0", "vm-1"]
     # The first two of a data centre are its heads, and own nothing.
     assert not {"vm-0", "vm-1"} & set(owners)
     for revision, name in enumerate(fleet.names[30:], start=100):
         fleet.register(name, revision)
-    assert memberships.eldest(2) == ["vm-0", "vm-1"]
+    assert memberships.oldest(2) == ["vm-0", "vm-1"]
     assert first_owners(memberships, targets) == owners
     fleet.register("vm-0", 200)
-    assert memberships.eldest(2) == ["vm-1", "vm-2"]
+    assert memberships.oldest(2) == ["vm-1", "vm-2"]
 
 
 class Head:
