--- a/hawthornlead/gateway/engine_calls.py
+++ b/hawthornlead/gateway/engine_calls.py
@@ -19,21 +19,21 @@
 from .records import EngineOrder, EngineReport, OrderOutcome
 from .target_connections import Exchange, TargetConnections, WholeAnswer
 
-# An engine answers these in a few milliseconds. An order without an answer by then may
-# still be carried out; all orders to its engine wait for so long. Giving it once more
-# is harmless, since an engine takes only one order of a count.
+# An engine answers an order in a few milliseconds. An order unanswered after this time
+# may still be carried out, and all orders to its engine wait that long. Repeating it is
+# harmless, since an engine takes only one order of a count.
 ORDER_TIMEOUT_S = 0.1
 REPORT_TIMEOUT_S = 0.6
 
 
 class EngineCalls:
-    """Calls to engines over connections that are kept, apart from those of requests."""
+    """Calls to engines over persistent connections, separate from those of requests."""
 
     def __init__(self, *, connections: TargetConnections):
         self._connections = connections
 
     async def report(self, address: str, target: str) -> Result[EngineReport, Failure]:
-        """Return an engine's report, as of some hundred milliseconds ago."""
+        """Return an engine's report, which lags some hundred milliseconds."""
         opened = await self._connections.open(address)
         if opened.is_err():
             return opened
@@ -59,8 +59,8 @@
     ) -> OrderOutcome:
         """Give an order; ``UNKNOWN`` if it may have been taken without an answer.
 
-        ``allowed`` is asked once there is a connection, right before the bytes leave:
-        while it was opened the right to give the order may have gone.
+        ``allowed`` is called once there is a connection, right before sending, because
+        the right to give the order may have been lost while connecting.
         """
         opened = await self._connections.open(address)
         if opened.is_err():
--- a/hawthornlead/gateway/engine_managers.py
+++ b/hawthornlead/gateway/engine_managers.py
@@ -188,7 +188,7 @@
         self._release_lost()
         if not self._owners and not self._orphaned_at:
             self._ownerships.on_idle()
-        heard = self._memberships.heard()
+        seen = self._memberships.recently_seen()
         for entry in tuple(self._targets.entries.values()):
             spec = self._spec(entry)
             if spec is None or entry.draining:
@@ -201,7 +201,7 @@
                     # It left and returned between two checks, as another incarnation.
                     self._replace_owner(owner, entry, spec)
                 continue
-            if self._targets.owner(entry.target) in heard:
+            if self._targets.owner(entry.target) in seen:
                 self._orphaned_at.pop(entry.target, None)
                 continue
             now = self._timers.now()
@@ -334,7 +334,7 @@
         A message about a later incarnation than the known one reveals a restart.
         """
         incarnation = Incarnation(target, started_ms)
-        if not self._targets.observe_incarnation(incarnation, RestartSeen.WORD):
+        if not self._targets.observe_incarnation(incarnation, RestartSeen.PEER_MESSAGE):
             return None
         return self._owners.get(target)
 
--- a/hawthornlead/gateway/engine_orders.py
+++ b/hawthornlead/gateway/engine_orders.py
@@ -1,8 +1,8 @@
-"""Orders to one engine, each under the lease and named by its count.
+"""Orders to one engine, each sent under the lease and numbered by the engine's count.
 
-Every order names how many orders the engine has accepted so far. One that is carried
-out late, after a newer one, is refused by the engine for that, and so is one that is
-decided by an old report::
+Every order names how many orders the engine has accepted so far. The engine therefore
+refuses an order that arrives late, after a newer one, and an order that was decided
+from an old report::
 
     outcome = await orders.give(entry, OrderKind.LOAD, AdapterKey("m", "a3"), 2)
 """
@@ -16,17 +16,17 @@
 from .records import EngineOrder, OrderKind, OrderOutcome, TargetEntry
 from .unacknowledged_orders import UnacknowledgedOrders
 
-# Unanswered orders in a row after which a report is read. Where every answer comes too
-# late, the first one was carried out and all others are refused, however often an owner
-# that goes on with its count gives them.
+# Consecutive unanswered orders after which a report is read. If every answer comes too
+# late, the engine carried out the first order and refuses all others, however often the
+# owner repeats its count.
 MAX_UNANSWERED = 3
-# A load that was started so lately may be under way yet. Some take seconds, as many
-# adapters are fetched at once.
+# A load started within this time may still be in progress. Some loads take seconds
+# because many adapters are fetched at once.
 LOAD_IN_PROGRESS_S = 10.0
 
 
 class EngineOrders:
-    """Gives the orders to one engine; ``holder`` names this VM to it."""
+    """Sends the orders to one engine; ``holder`` names this VM to it."""
 
     def __init__(
         self,
@@ -54,12 +54,12 @@
 
     @property
     def accepted(self) -> int | None:
-        """How many orders the engine has accepted; None until a report tells."""
+        """How many orders the engine has accepted; None until a report shows it."""
         return self._accepted
 
     @property
     def confirmed_accepted(self) -> int:
-        """How many orders the engine's answers show to be accepted, at least."""
+        """The minimum number of accepted orders that the engine's answers confirm."""
         return self._confirmed_accepted
 
     @property
@@ -68,16 +68,16 @@
         return self._last_sent_at
 
     def set_accepted(self, accepted: int | None) -> None:
-        """Take the count that a report tells; None asks for one."""
+        """Set the count that a report shows; None requests a report."""
         self._accepted = accepted
         if accepted is not None:
-            # A report that was heeded counts more than what answers seemed to show.
+            # An accepted report overrides what the answers seemed to show.
             self._confirmed_accepted = min(self._confirmed_accepted, accepted)
 
     async def give(
         self, entry: TargetEntry, kind: OrderKind, key: AdapterKey, version: int
     ) -> OrderOutcome:
-        """Give one order if the lease still holds, and return what came of it."""
+        """Give one order if the lease still holds, and return its outcome."""
         ownership = self._ownerships.current(entry.target)
         if ownership is None or self._accepted is None:
             self._accepted = None
@@ -121,9 +121,9 @@
 
     def _apply_outcome(self, order: EngineOrder, outcome: OrderOutcome) -> None:
         if outcome is OrderOutcome.UNKNOWN:
-            # Carried out or not, or later: the next order names the same count. The
-            # engine takes only one of the two and refuses the other, so that there is
-            # no need to wait for a report that shows which.
+            # The order may be carried out, now or later, or not. The next order names
+            # the same count. The engine takes one of the two and refuses the other, so
+            # there is no need to wait for a report.
             self._unanswered += 1
             if self._unanswered >= MAX_UNANSWERED:
                 self._accepted = None
@@ -132,18 +132,18 @@
         self._unanswered = 0
         loads_already = self._loads_already(order)
         if loads_already or not confirms_acceptance(order, outcome):
-            # Only a report tells how many orders the engine has accepted.
+            # Only a report shows how many orders the engine has accepted.
             self._accepted = None
             return
         self._confirmed_accepted = order.order_count + 1
         if self._accepted is not None:
-            # None when the count was found to be off while the order was under way.
+            # None if the count was found to be wrong while the order was in flight.
             self._accepted = order.order_count + 1
 
     def _loads_already(self, order: EngineOrder) -> bool:
-        """Whether a load that was started lately may already bring what is ordered.
+        """Whether a load started recently may already bring what is ordered.
 
-        The engine then says that it is under way, and may not have counted the order.
+        The engine then answers that it is in progress, and may not count the order.
         """
         key = AdapterKey(order.model, order.adapter)
         if order.kind is not OrderKind.LOAD:
@@ -161,8 +161,8 @@
 def confirms_acceptance(order: EngineOrder, outcome: OrderOutcome) -> bool:
     """Whether an outcome shows that the engine has counted the order.
 
-    A model that starts to load and an adapter that leaves later change more than the
-    count, so that a report is read after them.
+    Loading a model and unloading an adapter in use change more than the count, so a
+    report is read after them.
     """
     if order.kind is OrderKind.UNLOAD:
         return outcome is OrderOutcome.HOLDS_ALREADY
--- a/hawthornlead/gateway/engine_owners.py
+++ b/hawthornlead/gateway/engine_owners.py
@@ -1,9 +1,9 @@
-"""Ordering one engine: which adapter is loaded and evicted, one order after the other.
+"""The owner of one engine, which decides what the engine loads and evicts.
 
-Requests of all VMs ask here for adapters and for their prompts' turns. How an order is
-given stands in ``engine_orders``, how an adapter's way is followed in
-``fetch_trackers``, and what may still come of orders to a former start of the engine
-in ``unacknowledged_orders``.
+It gives one order at a time. Requests of all VMs ask it for adapters and for their
+prompts' turns. ``engine_orders`` sends the orders, ``fetch_trackers`` tracks adapters
+until they are ready, and ``unacknowledged_orders`` covers orders to a former
+incarnation of the engine that may still arrive.
 """
 
 import asyncio
@@ -46,25 +46,27 @@
 from .slot_waits import SlotWaits
 from .unacknowledged_orders import UnacknowledgedOrders
 
-# Between tries of a report that can't be had.
+# Between attempts to read a report.
 REPORT_RETRY_S = 0.2
 MAX_ORDER_TRIES = 6
-# When to come back for an adapter whose slot was taken by another: at a busy engine the
-# next one is free 0.1 s to 0.2 s later.
+# When to retry for an adapter whose slot was taken by another. At a busy engine the
+# next slot is free 0.1 s to 0.2 s later.
 NO_SLOT_RETRY_S = 0.15
 
 
 class EngineOwner:
-    """The one that orders one incarnation of an engine.
+    """Gives the orders to one incarnation of an engine.
 
-    ``on_restarted`` takes what ``EngineReports`` hands it::
+    ``on_changed`` is called when the holdings change, ``on_restarted`` as described at
+    ``EngineReports``::
 
         owner = EngineOwner(entry, spec, ownerships=ownerships, calls=calls,
-                            timers=timers, holder="edge-1", late=late,
+                            timers=timers, holder="edge-1",
+                            unacknowledged=unacknowledged,
                             on_changed=publish, on_restarted=replace)
         owner.start()
-        wanted = SlotRequest(AdapterKey("m", "a3"), rank=0, due_at=now, until=now)
-        loaded = await owner.load(wanted, version=2, wait_s=1.0)
+        request = SlotRequest(AdapterKey("m", "a3"), rank=0, due_at=now, until=now)
+        loaded = await owner.load(request, version=2, wait_s=1.0)
     """
 
     def __init__(
@@ -147,12 +149,12 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """The start of the engine that is ordered here."""
+        """The incarnation of the engine that is ordered here."""
         return self._entry.incarnation
 
     @property
     def unanswered_until(self) -> float:
-        """Until when an order without an answer may reach the engine."""
+        """The time until which an unanswered order may reach the engine."""
         return self._unacknowledged.unanswered_until
 
     @property
@@ -162,12 +164,12 @@
 
     @property
     def known(self) -> bool:
-        """Whether the engine's report was read."""
+        """Whether the engine's report has been read."""
         return self._orders.accepted is not None
 
     @property
     def holdings(self) -> TargetHoldings:
-        """What the other VMs are told of the engine."""
+        """What is announced of the engine to the other VMs."""
         ownership = self._ownerships.current(self.target)
         return TargetHoldings(
             self.target,
@@ -181,16 +183,16 @@
         )
 
     def start(self) -> None:
-        """Begin to look after the engine."""
+        """Start to maintain the engine."""
         self._tasks.spawn(self._maintain())
 
     def stop(self) -> None:
-        """Give no further order; who waits for a load is told so at once."""
+        """Give no further order, and fail waiting loads at once."""
         self._tasks.cancel()
         self._requests.stop()
 
     async def finish(self) -> None:
-        """Give no further order, and wait until none can be on its way any more."""
+        """Give no further order, and wait until no order can be in flight any more."""
         self._finished = True
         self._requests.stop()
         await self._unacknowledged.wait_answered(ORDER_TIMEOUT_S)
@@ -200,42 +202,42 @@
             await self._timers.sleep(on_its_way_s)
 
     def apply_entry(self, entry: TargetEntry) -> None:
-        """Take a newer entry of the same engine."""
+        """Apply a newer entry of the same engine."""
         self._entry = entry
 
     def reserve(
-        self, key: AdapterKey, vm: str, wanted: ReservePrompt
+        self, key: AdapterKey, vm: str, request: ReservePrompt
     ) -> PromptReserved:
-        """Return when the engine may read a prompt of a VM, if its adapter is there."""
+        """Reserve a turn for a VM's prompt if the engine holds its adapter."""
         held = key.model in self._slots.models
         if key.adapter:
             held = self._slots.ready(key, 0)
         if not held and self.known:
             return PromptReserved(0.0, False, False)
         now = self._timers.now()
-        expected_s = self._pacer.expected_wait(now, wanted.tokens, wanted.gap_ms)
-        if expected_s > wanted.most_s:
+        expected_s = self._pacer.expected_wait(now, request.tokens, request.gap_ms)
+        if expected_s > request.most_s:
             return PromptReserved(expected_s, True, False)
-        wait_s = self._pacer.reserve(wanted.tokens, wanted.gap_ms, now)
+        wait_s = self._pacer.reserve(request.tokens, request.gap_ms, now)
         if key.adapter:
             self._slots.record_turn(key, vm, now + wait_s)
         return PromptReserved(wait_s, True, True)
 
     def end_turn(self, key: AdapterKey, vm: str) -> None:
-        """Note that a VM's request that had its turn has ended."""
+        """Record that a VM's request which had its turn has ended."""
         self._slots.end_turn(key, vm)
         self._slot_waits.on_freed()
 
     async def load(
-        self, wanted: SlotRequest, version: int, wait_s: float
+        self, request: SlotRequest, version: int, wait_s: float
     ) -> Result[int, Failure]:
         """Make an adapter ready and return its version; see ``AdapterRequests``."""
-        return await self._requests.load(wanted, version, wait_s)
+        return await self._requests.load(request, version, wait_s)
 
     def _can_acquire_slot(self, key: AdapterKey) -> bool:
-        """Whether an adapter has a slot, or one is free or can be freed now."""
+        """Whether an adapter has a slot, or a slot is free or can be freed now."""
         if self._orders.accepted is None:
-            # What is held shows when the order is given.
+            # The holdings are read before the order is given.
             return True
         return self._checks.has_capacity(key) or self._checks.victim() is not None
 
@@ -245,13 +247,13 @@
         async with self._lock:
             for _ in range(MAX_ORDER_TRIES):
                 if self._finished:
-                    return Err(Failure(ErrorKind.NO_GRANT, "given back", 0.1))
+                    return Err(Failure(ErrorKind.NO_GRANT, "engine released", 0.1))
                 if self._orders.accepted is None and not await self._resync():
                     return Err(Failure(ErrorKind.TARGET_LOST, "no report", 0.5))
                 if not self._checks.is_needed(key, version):
                     return Ok(None)
                 if not self._requests.is_waiting(key):
-                    # A load for nobody would only take a slot from one in use.
+                    # A load that nobody waits for would only take away a slot.
                     return Err(Failure(ErrorKind.LOAD_FAILED, "nobody waits", 0.3))
                 refusal = self._checks.refusal(self._entry, key, version)
                 if refusal is not None:
@@ -277,8 +279,8 @@
             self._announce()
             return True
         if outcome is OrderOutcome.STARTED:
-            # Someone runs on it after all. It leaves when its runs end, up to 20 s
-            # later, and the engine refuses all orders until then.
+            # A request runs on it after all. The adapter leaves when its runs end, up
+            # to 20 s later, and the engine refuses all orders until then.
             now = self._timers.now()
             self._slots.set(victim, version, SlotState.LEAVING, now)
             self._announce()
@@ -286,7 +288,7 @@
         return outcome in (OrderOutcome.CONFLICT, OrderOutcome.UNKNOWN)
 
     async def _load_one(self, key: AdapterKey, version: int) -> OrderOutcome:
-        """Order one model or adapter, and follow it on its way."""
+        """Order one model or adapter, and track an adapter until it is ready."""
         outcome = await self._orders.give(self._entry, OrderKind.LOAD, key, version)
         if outcome is not OrderOutcome.STARTED:
             return outcome
@@ -314,27 +316,27 @@
         self._slots.apply_report(report, self._timers.now())
         for key, slot in self._slots.slots.items():
             if slot.state is SlotState.ARRIVING:
-                look = functools.partial(self._fetch_tracker.poll, key, slot)
-                self._tasks.spawn_once(f"{key}", look)
+                check = functools.partial(self._fetch_tracker.poll, key, slot)
+                self._tasks.spawn_once(f"{key}", check)
         self._announce()
 
     def on_adapter_missing(self, key: AdapterKey) -> None:
-        """Note that the engine refused a request for want of an adapter."""
+        """Handle the engine's refusal of a request for a missing adapter."""
         slot = self._slots.slots.get(key)
         if slot is None or slot.state is not SlotState.READY:
             return
         if self._fetch_tracker.on_refused(key, slot):
-            # It was foreseen too early. To read the report under the lock would hold
-            # up all orders to the engine for 0.1 s or more.
+            # It was predicted too early. Reading the report under the lock would delay
+            # all orders to the engine by 0.1 s or more.
             self._slots.set(key, slot.version, SlotState.ARRIVING, slot.since)
-            look = functools.partial(self._recheck, key, self._slots.slots[key])
-            self._tasks.spawn_once(f"{key}", look)
+            check = functools.partial(self._recheck, key, self._slots.slots[key])
+            self._tasks.spawn_once(f"{key}", check)
             self._announce()
             return
         self._orders.set_accepted(None)
 
     async def _recheck(self, key: AdapterKey, slot: Slot) -> None:
-        """Look whether an adapter that seemed ready is still on its way, or gone."""
+        """Check whether an adapter that seemed ready is still arriving, or gone."""
         await self._timers.sleep(REPORT_LAG_S)
         read = await self._read_report()
         if read.is_ok() and not shows_adapter(read.ok_value, key):
@@ -362,7 +364,7 @@
         self._announce()
 
     async def _maintain(self) -> None:
-        """Read the report until it is there, then keep the engine's model loaded."""
+        """Read the report until it succeeds, then keep the engine's model loaded."""
         while True:
             async with self._lock:
                 if self._orders.accepted is None:
@@ -374,13 +376,13 @@
             await self._timers.sleep(REPORT_RETRY_S)
 
     async def _repair(self) -> None:
-        """See to leaving adapters, and to an engine that lost its model."""
+        """Resync on leaving adapters, and reload a lost model."""
         now = self._timers.now()
         if self._slots.leaving_s(now) > REPORT_LAG_S:
             await self._resync()
         if self._slots.models or self._entry.draining or not self._spec.models:
             return
-        # An engine restarts empty. Without its model it serves nothing at all.
+        # An engine restarts empty. Without its model it serves nothing.
         key = AdapterKey(self._spec.models[0].name, "")
         if now - self._orders.last_sent_at > self._spec.models[0].load_s + REPORT_LAG_S:
             await self._load_one(key, 0)
--- a/hawthornlead/gateway/engine_releases.py
+++ b/hawthornlead/gateway/engine_releases.py
@@ -1,9 +1,9 @@
-"""Giving engines back as their VM leaves, so that another orders them at once.
+"""Release of engines by a VM that shuts down, so that another VM claims them at once.
 
-A VM that leaves is heard by the others until its process ends, three seconds and more
-after it released its engines. Taken for the owner until then, it would leave them
-without orders. So whoever gives an engine back tells the others, and the next in its
-order claims it.
+The other VMs still see a leaving VM until its process ends, three seconds or more after
+it released its engines. If they took it for the owner until then, the engines would get
+no orders. So a VM that releases an engine notifies the others, and the next VM in the
+engine's order claims it.
 """
 
 import asyncio
@@ -16,12 +16,12 @@
 from .ownerships import Ownerships
 from .target_tables import TargetTable
 
-# Between looks whether the store is back.
+# Between checks whether the store is available again.
 STORE_POLL_S = 0.2
 
 
 class EngineReleases:
-    """Gives back what this VM orders, and takes the other VMs' words of it.
+    """Releases this VM's engines, and receives the release notices of other VMs.
 
     ::
 
@@ -45,11 +45,11 @@
         mesh.on(TargetReleased, self._on_released)
 
     async def await_store(self, until: float) -> None:
-        """Wait until the store can take a release, not longer than ``until``.
+        """Wait until the store can take a release, at most until ``until``.
 
-        While the store is away nobody can take an engine over, so that one given back
-        then is without orders until the store returns. A VM that goes on takes no new
-        callers, so it does only while most others take them.
+        While the store is unavailable no VM can take over an engine, so an engine
+        released then gets no orders until the store returns. A VM that keeps waiting
+        takes no new callers, so it waits only while most other VMs take them.
         """
         while self._ownerships.owned and self._memberships.mostly_serving:
             if await self._ownerships.is_store_available():
@@ -59,19 +59,19 @@
             await self._timers.sleep(STORE_POLL_S)
 
     async def release_all(self, owners: tuple[EngineOwner, ...]) -> None:
-        """Order engines no more, and let others claim them."""
+        """Stop ordering engines, and release them for others to claim."""
         await asyncio.gather(*[self._release(owner) for owner in owners])
 
     async def _release(self, owner: EngineOwner) -> None:
-        # An order that is still on its way would meet the successor's first one.
+        # An order still in flight could collide with the successor's first one.
         await owner.finish()
         released = await self._ownerships.release(owner.target)
         if released is None:
             # The store may or may not have taken it. The others find out by the lease.
             return
-        word = TargetReleased(owner.target, released.fence)
-        self._targets.on_released(self._memberships.vm, word.target, word.fence)
-        self._mesh.broadcast(word)
+        notice = TargetReleased(owner.target, released.fence)
+        self._targets.on_released(self._memberships.vm, notice.target, notice.fence)
+        self._mesh.broadcast(notice)
 
     async def _on_released(self, sender, message: TargetReleased) -> None:
         self._targets.on_released(sender.vm, message.target, message.fence)
--- a/hawthornlead/gateway/engine_reports.py
+++ b/hawthornlead/gateway/engine_reports.py
@@ -1,10 +1,11 @@
-"""Reading one engine's reports, and heeding only those of its own incarnation.
+"""Reports of one engine, checked against its incarnation and order count.
 
-A report lags some hundred milliseconds, and may be the first to show that the engine
-has started again::
+A report lags some hundred milliseconds behind, and may be the first to show that the
+engine has restarted::
 
-    reports = EngineReports(incarnation, calls=calls, orders=orders, late=late,
-                            timers=timers, events=events, on_restarted=replace)
+    reports = EngineReports(incarnation, calls=calls, orders=orders,
+                            unacknowledged=unacknowledged, timers=timers,
+                            events=events, on_restarted=replace)
     report = await reports.read_settled(address)
 """
 
@@ -20,18 +21,18 @@
 from .records import EngineReport, Incarnation
 from .unacknowledged_orders import CHECK_INTERVAL_S, UnacknowledgedOrders
 
-# A report this long after an order shows it: reports lag some hundred milliseconds.
+# A report this long after an order shows it. Reports lag some hundred milliseconds.
 REPORT_LAG_S = 0.25
-# A report that doesn't show an order this long after the engine took it is of an engine
-# that started again; one that doesn't show it sooner may only be late.
+# If a report this long after an accepted order doesn't show the order, the engine has
+# restarted. An earlier report may only be late.
 MAX_REPORT_DELAY_S = 1.0
 
 
 class EngineReports:
-    """The reports of one incarnation of an engine.
+    """Reads the reports of one incarnation of an engine.
 
-    ``on_restarted`` takes the start that a report tells of another incarnation, None
-    where a count that went back is all that tells.
+    ``on_restarted`` is called with the start time of another incarnation that a report
+    shows, or with None if only a lower order count reveals the restart.
     """
 
     def __init__(
@@ -55,18 +56,18 @@
         self._checked_at = 0.0
 
     async def read(self, address: str) -> Result[EngineReport, Failure]:
-        """Read a report, perhaps one of before the last order."""
+        """Read a report, which may be from before the last order."""
         target = self._incarnation.target
         read = await self._calls.report(address, target)
         if read.is_err():
             return read
         report = read.ok_value
-        told = Incarnation(target, report.started_ms)
-        if told.precedes(self._incarnation):
-            return _unusable("the report is of a former start")
-        if self._incarnation.precedes(told):
+        reported = Incarnation(target, report.started_ms)
+        if reported.precedes(self._incarnation):
+            return _unusable("the report is from a former incarnation")
+        if self._incarnation.precedes(reported):
             self._on_restarted(report.started_ms)
-            return _unusable("the engine started again")
+            return _unusable("the engine has restarted")
         return Ok(report)
 
     async def read_settled(self, address: str) -> Result[EngineReport, Failure]:
@@ -85,10 +86,10 @@
         return read
 
     async def detect_late_order(self, address: str) -> bool:
-        """Look now and then whether the engine took an order that wasn't given here.
+        """Check periodically whether the engine took an order not given here.
 
-        A late load of an older version, or a late unload, is refused by nobody: it
-        would be found only when a request ran with the wrong version.
+        Nothing else detects a late load of an older version or a late unload, until a
+        request runs with the wrong version.
         """
         now = self._timers.now()
         if (
@@ -99,7 +100,7 @@
         self._checked_at = now
         read = await self.read(address)
         accepted = self._orders.accepted
-        # Reports lag, so that the engine's count is never above this owner's own.
+        # Reports lag, so without such an order the count is at most this owner's own.
         if read.is_err() or accepted is None or read.ok_value.order_count <= accepted:
             return False
         self._events.emit(
@@ -111,12 +112,12 @@
         return True
 
     def _check_count(self, report: EngineReport) -> Result[EngineReport, Failure]:
-        """Refuse a report whose count is below what the engine surely accepted.
+        """Refuse a report whose count is below the confirmed number of orders.
 
-        Such a report is older than the last order, or of an engine that started again
-        and doesn't tell its start. It can't be seen there once the new start has
-        accepted as many orders as the former one; what it holds is then taken from
-        its report all the same.
+        Such a report is older than the last order, or the engine has restarted and
+        doesn't report its start time. Such a restart is not detected once the new
+        incarnation has accepted as many orders as the former one. What the engine holds
+        is then still taken from its report.
         """
         if report.order_count >= self._orders.confirmed_accepted:
             return Ok(report)
@@ -124,7 +125,7 @@
             return _unusable("the report is older than the last order")
         if report.started_ms is None:
             self._on_restarted(None)
-            return _unusable("the engine counts its orders anew")
+            return _unusable("the engine's order count started again")
         return Ok(report)
 
 
--- a/hawthornlead/gateway/engine_slots.py
+++ b/hawthornlead/gateway/engine_slots.py
@@ -1,8 +1,8 @@
-"""What one engine holds, as the VM that alone orders it knows.
+"""The adapter slots of one engine, as the VM that owns the engine observes them.
 
-A slot is used by an adapter that is ready, one that is arriving and one that leaves
-but still has runs. The engine breaks down when it is ordered to load more than it has
-slots, so that a slot counts as free only when the engine has said so.
+A slot is used by an adapter that is ready, arriving, or leaving with requests still
+running. The engine crashes when it is ordered to load more adapters than it has slots,
+so a slot counts as free only once the engine has confirmed it.
 """
 
 import math
@@ -12,22 +12,23 @@
 from ..messages.gateways import HeldAdapter
 from .records import EngineReport, EngineSpec
 
-# Before a request is sent the owner is asked for its turn, and told when the request
-# has ended. Where that word is lost, the turn counts for so long, beside the time in
-# which each VM tells of its requests; after that their word alone counts.
+# Before a request is sent the owner is asked for its turn, and it is notified when the
+# request ends. If that notice is lost, the turn counts for this time plus the interval
+# at which VMs announce their requests. After that only the announcements count.
 UNREPORTED_TURN_S = 0.15
-# Turns whose end was never told are dropped after this, also of adapters that left: the
-# longest runs take 20 s.
+# Turns whose end was never reported are discarded after this time, also for evicted
+# adapters. The longest runs take 20 s.
 TURN_RETENTION_S = 30.0
-# Who waited for an adapter asks for its turn within some milliseconds of its arrival.
+# Requests that waited for an adapter ask for their turn some milliseconds after it is
+# ready. Within this time the adapter is not evicted.
 TURN_REQUEST_GRACE_S = 0.1
-# The half-life of an adapter's count of requests, by which adapters are evicted. Demand
-# moves within seconds; with a longer memory the adapters of before keep their slots.
+# The half-life of the request counts that decide evictions. Demand moves within
+# seconds; with a longer half-life adapters no longer in demand keep their slots.
 USE_HALF_LIFE_S = 10.0
 
 
 class SlotState(Enum):
-    """How far an adapter is in its slot."""
+    """The state of an adapter in its slot."""
 
     ARRIVING = "arriving"
     READY = "ready"
@@ -42,7 +43,7 @@
 
 
 class Slot:
-    """One adapter of the engine. ``since`` is when it came into its state."""
+    """One adapter of the engine; ``since`` is when it entered its state."""
 
     def __init__(self, version: int, state: SlotState, since: float):
         self.version = version
@@ -51,17 +52,17 @@
 
 
 class AdaptersInUse(Protocol):
-    """What is known of the requests under way."""
+    """The requests in progress, as announced by all VMs."""
 
     def running(self, target: str) -> dict[AdapterKey, int]:
         """Return how many requests use each adapter of an engine, over all VMs."""
 
     def announce_interval_s(self) -> float:
-        """Return how often each VM tells of its requests, in seconds."""
+        """Return how often each VM announces its requests, in seconds."""
 
 
 class _Use:
-    """How much an adapter is asked for: a count of requests that fades."""
+    """An exponentially decaying count of the requests for an adapter."""
 
     __slots__ = ("at", "score")
 
@@ -79,7 +80,7 @@
         self._models: dict[str, int] = {}
         self._uses: dict[AdapterKey, _Use] = {}
         self._running: dict[AdapterKey, int] = {}
-        # The turns that requests of each VM have, by when they began.
+        # The start times of the turns of each VM's requests.
         self._turns: dict[AdapterKey, dict[str, list[float]]] = {}
 
     @property
@@ -89,7 +90,7 @@
 
     @property
     def capacity(self) -> int:
-        """How many adapters the engine has slots for."""
+        """The number of adapter slots of the engine."""
         return self._spec.adapter_slots
 
     @property
@@ -110,7 +111,7 @@
 
     @property
     def arriving(self) -> int:
-        """How many adapters are on their way to the engine."""
+        """The number of adapters that the engine is loading."""
         states = [slot.state for slot in self._slots.values()]
         return states.count(SlotState.ARRIVING)
 
@@ -135,7 +136,7 @@
         return self._free_mb() >= (1 + spare) * model.adapter_mb
 
     def record_use(self, key: AdapterKey, count: int, now: float) -> None:
-        """Count requests for an adapter that began."""
+        """Count started requests for an adapter."""
         use = self._uses.get(key)
         if use is None:
             use = self._uses[key] = _Use()
@@ -143,11 +144,11 @@
         use.at = now
 
     def record_turn(self, key: AdapterKey, vm: str, at: float) -> None:
-        """Note that a VM sends a request for an adapter at ``at``."""
+        """Record that a VM sends a request for an adapter at ``at``."""
         self._turns.setdefault(key, {}).setdefault(vm, []).append(at)
 
     def end_turn(self, key: AdapterKey, vm: str) -> None:
-        """Note that a VM's request for an adapter has ended, or isn't sent."""
+        """Record that a VM's request for an adapter has ended, or isn't sent."""
         turns = self._turns.get(key, {})
         begun = turns.get(vm)
         if not begun:
@@ -159,21 +160,21 @@
             del self._turns[key]
 
     def apply_running(self, running: dict[AdapterKey, int]) -> None:
-        """Take how many requests run for each adapter, over all VMs."""
+        """Set how many requests run for each adapter, over all VMs."""
         self._running = running
 
     def running(self, key: AdapterKey) -> int:
-        """How many requests for an adapter run, as last told."""
+        """Return how many requests for an adapter run, as last announced."""
         return self._running.get(key, 0)
 
     @property
     def leaving(self) -> bool:
-        """Whether an adapter with runs is leaving; no order is taken till then."""
+        """Whether an adapter in use is leaving; the engine takes no orders then."""
         states = [slot.state for slot in self._slots.values()]
         return SlotState.LEAVING in states
 
     def leaving_s(self, now: float) -> float:
-        """For how long the oldest leaving adapter has been leaving, 0 for none."""
+        """Return how long the oldest leaving adapter has been leaving, 0 for none."""
         since = now
         for slot in self._slots.values():
             if slot.state is SlotState.LEAVING:
@@ -181,9 +182,9 @@
         return now - since
 
     def victim(self, now: float, announce_interval_s: float = 0.0) -> AdapterKey | None:
-        """Return the adapter to evict: unused now, and asked for least lately.
+        """Return the adapter to evict: not in use, and with the least recent demand.
 
-        ``announce_interval_s`` is how often each VM tells of its requests.
+        ``announce_interval_s`` is how often each VM announces its requests.
         """
         best, least = None, math.inf
         for key, slot in self._slots.items():
@@ -200,15 +201,15 @@
         return best
 
     def set(self, key: AdapterKey, version: int, state: SlotState, now: float) -> None:
-        """Enter an adapter in a slot, or change its state."""
+        """Put an adapter into a slot, or change its state."""
         self._slots[key] = Slot(version, state, now)
 
     def remove(self, key: AdapterKey) -> None:
-        """Note that an adapter left its slot."""
+        """Remove an adapter that left its slot."""
         self._slots.pop(key, None)
 
     def apply_report(self, report: EngineReport, now: float) -> None:
-        """Take what the engine says of itself, in place of what was believed."""
+        """Replace the observed state by what the engine reports."""
         self._models = {model.name: model.version for model in report.models}
         slots: dict[AdapterKey, Slot] = {}
         for held in [each for model in report.models for each in model.adapters]:
@@ -220,7 +221,7 @@
         self._slots = slots
 
     def expire_uses(self, now: float) -> None:
-        """Drop what was counted of adapters that nobody asked for lately."""
+        """Discard the counts of adapters without recent demand."""
         for key in tuple(self._turns):
             self._has_turns(key, now - TURN_RETENTION_S)
         for key, use in tuple(self._uses.items()):
@@ -228,9 +229,9 @@
                 del self._uses[key]
 
     def _has_turns(self, key: AdapterKey, since: float) -> bool:
-        """Whether a request had its turn since then and hasn't ended.
+        """Whether a request got its turn after ``since`` and hasn't ended.
 
-        Older ones are dropped: those that still run are told of.
+        Older turns are discarded; requests still running are announced by their VMs.
         """
         turns = self._turns.get(key)
         if turns is None:
--- a/hawthornlead/gateway/fetch_trackers.py
+++ b/hawthornlead/gateway/fetch_trackers.py
@@ -1,9 +1,9 @@
-"""Following adapters on their way to one engine, until they are ready.
+"""Tracking of an engine's adapter fetches until the adapters are ready.
 
-Where it is known how long a fetch takes its end is foreseen, because reports lag; one
-fetch in some is also followed by reports, to learn how long they take::
+Reports lag, so the end of a fetch is predicted once fetch times are known. Some fetches
+are also tracked by reports, to learn how long fetches take::
 
-    tasks.spawn(follower.track(key, slot))
+    tasks.spawn(tracker.track(key, slot))
 """
 
 from collections.abc import Awaitable, Callable
@@ -17,24 +17,24 @@
 from .recent_adapters import RecentAdapters, remembered_adapters
 from .records import EngineReport, held_version
 
-# An adapter takes 250 to 290 ms, or a tenth of it when the engine held it lately, and
-# a report lags 100 ms behind: the first look comes soon enough for the fast ones.
+# A fetch takes 250 to 290 ms, or a tenth of that if the engine held the adapter
+# recently, and a report lags 100 ms. The first poll is early enough for the fast ones.
 FIRST_POLL_S = 0.13
 POLL_INTERVAL_S = 0.06
-# One fetch in so many is also followed by reports, to learn how long fetches take.
+# One of this many fetches is also tracked by reports, to learn how long fetches take.
 OBSERVE_INTERVAL = 8
-# A refusal this soon after an adapter was said to be ready means that it wasn't yet.
+# If the engine refuses an adapter this soon after it was taken as ready, it was not.
 EARLY_READY_S = 0.3
-# An adapter still not there after this was refused or its fetch failed.
+# If an adapter is still missing after this time, it was refused or its fetch failed.
 LOAD_TIMEOUT_S = 5.0
 
 
 class FetchTracker:
-    """Follows the fetches of one engine.
+    """Tracks the fetches of one engine.
 
     ``arrivals`` are the learned times of first fetches (False) and of repeated ones
-    (True). ``on_ready`` takes key, version and how it is known; ``on_missing`` takes
-    the key of an adapter that never came.
+    (True). ``on_ready`` is called with key, version and how readiness is known,
+    ``on_missing`` with the key of an adapter whose fetch timed out.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         self._fetches = 0
 
     async def track(self, key: AdapterKey, slot: Slot) -> None:
-        """Follow one fetch: foreseen where its time is known, else by reports."""
+        """Track one fetch by its predicted time if known, otherwise by reports."""
         times = self._arrivals[key in self._recent]
         self._recent.add(key)
         self._fetches += 1
@@ -79,9 +79,9 @@
         times: ArrivalTimes | None = None,
         learn: bool = True,
     ) -> None:
-        """Look at reports until one shows an adapter, or it is given up.
+        """Poll reports until one shows the adapter or ``LOAD_TIMEOUT_S`` has passed.
 
-        Where ``learn`` is False it isn't known when the adapter was ordered.
+        ``learn`` is False if it isn't known when the adapter was ordered.
         """
         while self._timers.now() - slot.since < LOAD_TIMEOUT_S:
             read = await self._read_report()
@@ -100,9 +100,9 @@
         self._on_missing(key)
 
     def on_refused(self, key: AdapterKey, slot: Slot) -> bool:
-        """Note that the engine refused a request for the adapter of a ready slot.
+        """Handle the engine's refusal of a request for the adapter of a ready slot.
 
-        Return whether it was foreseen too early, and is still on its way.
+        Return whether readiness was predicted too early and the fetch still runs.
         """
         early = self._timers.now() - slot.since < EARLY_READY_S
         if early:
@@ -111,11 +111,11 @@
 
 
 def _arrived_version(report: EngineReport, key: AdapterKey) -> int | None:
-    """Return the version of an adapter that has come, None while one is on its way.
+    """Return the version of an adapter that is held, None while one is arriving.
 
-    While one version replaces another, a report shows both. Were the held one taken
-    for the one that comes, an older version that a late order brings would be believed
-    to be the newer one for good.
+    While one version replaces another, a report shows both. If the held version were
+    taken for the arriving one, an older version that a late order loads would be
+    permanently mistaken for the newer one.
     """
     if _is_arriving(report, key):
         return None
@@ -123,7 +123,7 @@
 
 
 def shows_adapter(report: EngineReport, key: AdapterKey) -> bool:
-    """Whether a report shows an adapter as held or on its way."""
+    """Whether a report shows an adapter as held or arriving."""
     return _is_arriving(report, key) or held_version(report.models, *key) is not None
 
 
--- a/hawthornlead/gateway/load_announcements.py
+++ b/hawthornlead/gateway/load_announcements.py
@@ -198,7 +198,7 @@
                 continue
             (up_to_date if subscriber.serial == since else behind).append(vm)
             subscriber.serial = serial
-        states, share = self._quotas.states(), self._memberships.heard_share
+        states, share = self._quotas.states(), self._memberships.seen_share
         quotas = (states, share) if states else ()
         changes = FleetUpdate(
             since, serial, table.changes_since(since), running, *quotas
--- a/hawthornlead/gateway/load_checks.py
+++ b/hawthornlead/gateway/load_checks.py
@@ -1,7 +1,7 @@
-"""Whether an adapter may be ordered onto an engine now, by what its owner knows.
+"""Checks whether an adapter may be loaded onto an engine now.
 
-A load that is turned down here is turned down at once, so that its request can go to
-another engine.
+A load that fails a check is refused at once, so that its request can go to another
+engine.
 """
 
 from ..errors import ErrorKind, Failure
@@ -10,7 +10,7 @@
 from .records import TargetEntry
 from .unacknowledged_orders import UnacknowledgedOrders
 
-# Adapters that an engine fetches at once; it refuses more.
+# The number of adapters that an engine fetches at once. It refuses more.
 MAX_ARRIVING = 4
 
 
@@ -40,14 +40,14 @@
         self._timers = timers
 
     def is_arriving(self, key: AdapterKey, version: int) -> bool:
-        """Whether an adapter is on its way, at this version or a newer one."""
+        """Whether an adapter is arriving, at this version or a newer one."""
         slot = self._slots.slots.get(key)
         if slot is None or slot.state is not SlotState.ARRIVING:
             return False
         return not version or slot.version >= version
 
     def is_needed(self, key: AdapterKey, version: int) -> bool:
-        """Whether an order is needed now, perhaps after others that came first."""
+        """Whether an order is needed and possible after the orders before it."""
         if self._slots.ready(key, version) or self.is_arriving(key, version):
             return False
         return self._slots.arriving < MAX_ARRIVING
@@ -65,13 +65,13 @@
         slot = self._slots.slots.get(key)
         self._refresh_running()
         if slot is not None and slot.version < version and self._slots.running(key):
-            # The engine replaces a version only when its runs have ended, and
-            # meanwhile runs nothing that is new: another engine is sooner.
-            return Failure(ErrorKind.NO_SLOT, "the old version runs", 0.3)
+            # The engine replaces a version only once its runs have ended, and starts
+            # no new runs meanwhile. Another engine is faster.
+            return Failure(ErrorKind.NO_SLOT, "an older version is in use", 0.3)
         return None
 
     def has_capacity(self, key: AdapterKey) -> bool:
-        """Whether an adapter has its slot, or one is free beside what is spared."""
+        """Whether an adapter has a slot, or one is free beyond the spare slots."""
         if key in self._slots.slots:
             return True
         return self._slots.has_capacity(key, self._unacknowledged.spare_slots)
--- a/hawthornlead/gateway/observed_targets.py
+++ b/hawthornlead/gateway/observed_targets.py
@@ -29,7 +29,7 @@
         self._holdings: TargetHoldings | None = None
         self._held: dict[AdapterKey, tuple[int, bool]] = {}
         # Nothing is known to have been evicted before the owner's first report.
-        self._recent = RecentAdapters(kept=0)
+        self._recent = RecentAdapters(limit=0)
         self.started_ms = started_ms
         self.since = since
         self.owner = owner
--- a/hawthornlead/gateway/owner_objects.py
+++ b/hawthornlead/gateway/owner_objects.py
@@ -1,9 +1,9 @@
-"""The object of the store that says who owns an engine, and under which fence.
+"""The store object that names the owner of an engine and its fence.
 
-A fence is one more than the revision at which its claim met the object. The store
-counts revisions up for all objects together and a claim is a conditional update at
-that revision, so that fences of one engine only rise, whatever another writer made of
-the object, and also where it was removed meanwhile::
+A fence is the object's revision at the claim plus one. The store counts revisions
+upwards for all objects together, and a claim is a conditional update at that revision.
+So the fences of one engine only rise, even if another writer changed or removed the
+object in between::
 
     found = read_owner(record)
     spec = owner_spec(found.claimed("vm-2", "5c1e", record.revision))
@@ -14,8 +14,8 @@
 from .records import StoredRecord
 
 OWNERS_KIND = "hawthornlead-owners"
-# So many former owners are remembered, so that the object stays small: more would take
-# as many VMs that each leave within a second.
+# The maximum number of former owners in the object, which keeps it small. More would
+# require as many VMs that each leave within a second.
 MAX_FORMER_OWNERS = 4
 
 
@@ -32,26 +32,26 @@
     former: tuple[str, ...] = ()
 
     def claimed(self, vm: str, incarnation: str, revision: int) -> "OwnerObject":
-        """Return the object as a VM claims it that met it at this revision."""
+        """Return the object as claimed by a VM that read it at this revision."""
         former = self.former
         if self.vm and self.vm != vm:
             former = (self.vm, *former)[:MAX_FORMER_OWNERS]
         return OwnerObject(vm, incarnation, revision + 1, former)
 
     def released(self, settled: bool) -> "OwnerObject":
-        """Return the object as its owner gives the engine back.
+        """Return the object as its owner releases the engine.
 
-        ``settled`` tells that it has owned the engine for so long that the orders of
-        owners before it are of no account.
+        ``settled`` is set if it owned the engine long enough that the orders of earlier
+        owners no longer matter.
         """
         earlier = () if settled else tuple([vm for vm in self.former if vm != self.vm])
         former = (self.vm, *earlier)[:MAX_FORMER_OWNERS]
         return OwnerObject("", "", self.fence, former)
 
 
-# What an engine's object holds before its first claim.
+# The content of an engine's object before its first claim.
 UNOWNED = OwnerObject("", "", 0)
-# What stands for an object that can't be read, once its engine was proved unowned.
+# Stands for an unreadable object whose engine was proved to be unowned.
 UNKNOWN = OwnerObject("", "", -1)
 
 
@@ -72,5 +72,5 @@
 
 
 def owner_spec(owner: OwnerObject) -> dict:
-    """Return what the store keeps of an owner."""
+    """Return the stored form of an owner."""
     return {**owner._asdict(), "former": list(owner.former)}
--- a/hawthornlead/gateway/ownerships.py
+++ b/hawthornlead/gateway/ownerships.py
@@ -1,8 +1,9 @@
-"""Who alone may give orders to an engine: one VM, under a fencing number.
+"""Ownership of engines: one VM alone may order an engine, under a fencing number.
 
-Each engine has an object in the store that names its owner (``owner_objects``). It
-changes only by conditional update, its fencing number grows with each change, and a
-successor takes it only when the owner released it, has restarted or its lease ran out.
+Each engine has an object in the store that names its owner (``owner_objects``). The
+object changes only by conditional update, and its fencing number grows with each
+change. A successor claims it only once the owner has released it or restarted, or the
+owner's lease has expired.
 """
 
 from typing import NamedTuple
@@ -28,24 +29,24 @@
 from .unacknowledged_orders import MAX_IN_FLIGHT_S
 from .vm_leases import VmLease
 
-# How long the VMs further down in an engine's order wait for the one before them.
+# How long a VM further down in an engine's order waits for each VM before it.
 RANK_WAIT_S = 1.5
-# An engine whose owner may still hold its lease is looked at again after this. A look
-# costs two calls of the store, and a lease lasts some seven times as long.
+# When to check again an engine whose owner may still hold its lease. A check costs two
+# store calls, and a lease lasts about seven times as long.
 HELD_RECHECK_S = 2.0
-# Orders of two VMs by turns within this time count as orders of two owners at once; the
-# platform bounds it to 3 s.
+# Alternating orders of two VMs within this time count as orders of two owners at once.
+# The platform bounds it to 3 s.
 MIN_HANDOVER_S = 3.0
-# An order is sent this long before the lease runs out, at the latest: one whose packet
-# is lost and sent again must not meet a successor's order.
+# An order is sent at the latest this long before the lease expires, because an order
+# whose packet is lost and retransmitted must not collide with a successor's order.
 ORDER_MARGIN_S = MAX_IN_FLIGHT_S
 
 
 class Ownership(NamedTuple):
-    """The right to order one engine; ``term`` is that of the lease it stands on.
+    """The right to order one engine; ``term`` is the term of the lease behind it.
 
-    ``since`` is when it was taken, in seconds of the ``TimerService``. ``first`` tells
-    that nobody has owned the engine before.
+    ``since`` is when it was taken, in seconds of the ``TimerService``. ``first`` is set
+    if nobody has owned the engine before.
     """
 
     target: str
@@ -58,7 +59,7 @@
 
 
 class _Held(NamedTuple):
-    """An owner whose lease hadn't run out at the last look, and when to look again."""
+    """An owner whose lease was valid at the last check; ``until`` is the next check."""
 
     vm: str
     incarnation: str
@@ -90,9 +91,9 @@
         self._mesh = mesh
         self._owned: dict[str, Ownership] = {}
         self._started_at = lease.now()
-        # When this process gave the last order to an engine, owned or not by now.
+        # When this process gave its last order to each engine, owned by now or not.
         self._ordered_at: dict[str, float] = {}
-        # How often this VM was asked to order an engine no more.
+        # How often this VM was asked to yield each engine.
         self._yields: dict[str, int] = {}
         self._held: dict[str, _Held] = {}
         mesh.on(YieldTarget, self._on_yield)
@@ -103,10 +104,10 @@
         return tuple([target for target in self._owned if self.current(target)])
 
     def current(self, target: str) -> Ownership | None:
-        """Return the right to order an engine, None if this VM hasn't got it now.
+        """Return the right to order an engine, None if this VM doesn't have it now.
 
-        To be asked right before each order: the lease may have run out since, while
-        this process was suspended.
+        Call it right before each order, because the lease may have expired while this
+        process was suspended.
         """
         ownership = self._owned.get(target)
         if ownership is None or not self._lease.holds_for(ORDER_MARGIN_S):
@@ -116,9 +117,9 @@
         return ownership
 
     def should_claim(self, target: str, orphaned_s: float) -> bool:
-        """Whether it is this VM's turn, for an engine without owner for so long.
+        """Whether this VM should claim an engine without owner for ``orphaned_s``.
 
-        Without a lease it isn't yet; then one is asked for.
+        Without a lease it should not yet, and a lease is requested.
         """
         if self._memberships.leaving:
             return False
@@ -130,9 +131,9 @@
         return self._lease.holds_for(ORDER_MARGIN_S)
 
     def _is_held(self, target: str) -> bool:
-        """Whether the last look showed an owner that is likely to hold on to an engine.
+        """Whether the last check showed an owner that probably still holds the engine.
 
-        One that has started again since holds nothing: its first renewal will tell.
+        An owner that has restarted since holds nothing; its first renewal shows that.
         """
         held = self._held.get(target)
         if held is None or self._lease.now() >= held.until:
@@ -141,16 +142,16 @@
         return record is None or record.incarnation == held.incarnation
 
     def on_released(self, target: str) -> None:
-        """Note that an owner gave an engine back, so that a claim may succeed now."""
+        """Record that an owner released an engine, so that a claim may succeed now."""
         self._held.pop(target, None)
 
     def on_idle(self) -> None:
-        """Let the lease go while nothing is owned."""
+        """Give up the lease while nothing is owned."""
         if not self._owned:
             self._lease.want(False)
 
     def record_order(self, target: str) -> None:
-        """Note that an order is being given to an engine."""
+        """Record that an order is being given to an engine."""
         self._ordered_at[target] = self._lease.now()
 
     async def claim(self, target: str) -> bool:
@@ -170,23 +171,23 @@
             return False
         ownership = await self._write_claim(target, record, owner, term)
         if ownership is None or self._yields.get(target, 0) != yields:
-            # Asked meanwhile, this VM said that it doesn't order the engine; who asked
+            # Meanwhile this VM was asked to yield the engine, and agreed. The requester
             # may have claimed it since. The next claim finds out.
             return False
         self._owned[target] = ownership._replace(first=owner == UNOWNED)
         if self._memberships.leaving:
-            # Its answer came while this VM gives back what it owns.
+            # The answer came while this VM was releasing what it owns.
             await self.release(target)
             return False
         return True
 
     async def release(self, target: str) -> Ownership | None:
-        """Give an engine back, so that a successor need not wait.
+        """Release an engine, so that a successor need not wait.
 
-        Return what was given back, None if the store may not have taken it.
+        Return the released ownership, None if the store may not have taken the release.
 
-        The object stays, also when the engine is gone: it tells the next owner who
-        ordered the engine before, for one that comes back under its id.
+        The object stays even if the engine is gone. If an engine returns under the same
+        id, the object names its former owners to the next one.
         """
         ownership = self._owned.pop(target, None)
         if ownership is None:
@@ -208,9 +209,9 @@
         return False
 
     async def _find(self, target: str) -> Result[StoredRecord, Failure]:
-        """Return an engine's owner object; one that isn't there is created vacant.
+        """Return an engine's owner object, and create it without owner if missing.
 
-        Only an object that is there has a revision, from which the fence follows.
+        Only an existing object has a revision, from which the fence is derived.
         """
         found = await self._client.get(OWNERS_KIND, target)
         if found.is_err():
@@ -233,11 +234,12 @@
         return False
 
     def _would_alternate(self, target: str, owner: OwnerObject) -> bool:
-        """Whether this VM ordered the engine a moment ago and another one since.
+        """Whether this VM ordered the engine a moment ago and another VM has since.
 
-        Claimed now, the engine would be ordered by two VMs in turn, which counts as
-        two owners at once. It happens where VMs are restarted or killed one after the
-        other. An earlier process of this VM may have ordered until this one started.
+        If this VM claimed the engine now, two VMs would order it alternately, which
+        counts as two owners at once. This happens if VMs are restarted or killed one
+        after the other. An earlier process of this VM may have given orders until this
+        one started.
         """
         vm = self._memberships.vm
         if not owner.vm and owner.former[:1] in ((), (vm,)):
@@ -252,15 +254,15 @@
     async def _prove_unowned(self, target: str) -> bool:
         """Whether no other VM owns an engine whose owner object can't be read.
 
-        Another writer's bytes hide who owns it, while that VM, which doesn't look at
-        the object again, goes on. So each VM with a lease must have said that it
-        orders the engine no more, or its lease must have run out.
+        Another writer overwrote the name of the owner, which doesn't read the object
+        again and continues. So each VM with a lease must confirm that it no longer
+        orders the engine, or its lease must have expired.
         """
         listed = await self._lease.others()
         if listed.is_err():
             return False
         others = {*listed.ok_value, *self._memberships.known} - {self._memberships.vm}
-        # Each is looked at in each round: their leases run out side by side.
+        # Every VM is checked in each round, so that their leases expire in parallel.
         unowned = [
             await self._has_yielded(vm, target) or await self._lease.has_run_out(vm, "")
             for vm in sorted(others)
--- a/hawthornlead/gateway/prompt_pacers.py
+++ b/hawthornlead/gateway/prompt_pacers.py
@@ -1,39 +1,39 @@
-"""When an engine may read the next prompt, so that running streams don't stall.
+"""Pacing of the prompts that an engine reads, so that running streams don't stall.
 
-An engine reads prompts between the tokens of the streams that it runs. Several long
-prompts at once hold all of them up for longer than callers accept between two events,
-while a prompt that waits a little still begins in good time. So the prompts of all VMs
-for one engine are spread out by the one VM that owns it.
+An engine reads prompts between the tokens of its running streams. Several long prompts
+at once delay all streams for longer than callers accept between two events, while a
+prompt that waits a little still starts in time. So the VM that owns an engine spreads
+out the prompts of all VMs.
 """
 
-# What an engine is taken to read in a millisecond.
+# The assumed reading speed of an engine.
 TOKENS_PER_MS = 38.1
-# For who only asks how long the wait is.
+# The default gap, for queries about the current wait.
 MAX_GAP_MS = 400.0
-# The share of an engine's time that prompts may take while others wait for theirs. What
-# is left of a pause must do for the tokens of the streams themselves.
+# The share of an engine's time that prompts may take while others wait. The rest must
+# suffice for the tokens of the streams.
 DUTY = 0.5
-# A short prompt at an idle moment delays nothing: so much may be read without a pause.
+# Short prompts on an idle engine delay nothing, so this much is read without a pause.
 BURST_MS = 30.0
-# What the tokens of one event take beside prompts, of the time between two events.
+# The part of the time between two events that the tokens of one event take.
 EVENT_MS = 45.0
 
 
 class PromptPacer:
-    """The pace of one engine.
+    """Assigns turns to the prompts of one engine.
 
     ::
 
-        wait_s = pace.reserve(tokens=1800, gap_ms=300.0, now=timers.now())
+        wait_s = pacer.reserve(tokens=1800, gap_ms=300.0, now=timers.now())
     """
 
     def __init__(self):
         self._free_at = 0.0
 
     def reserve(self, tokens: int, gap_ms: float, now: float) -> float:
-        """Return how long the prompt has to wait, in seconds, and count it as read.
+        """Reserve a turn, and return how long the prompt must wait, in seconds.
 
-        Streams that run there bear ``gap_ms`` between two events.
+        Streams that run there tolerate ``gap_ms`` between two events.
         """
         wait_s = self.expected_wait(now, tokens, gap_ms)
         read_s = read_ms(tokens) / 1000
@@ -45,8 +45,8 @@
     ) -> float:
         """Return how long a prompt would have to wait, in seconds.
 
-        A long one waits until those before it were read, for together with them it
-        would hold up the streams for longer than they bear.
+        A long prompt waits until those before it have been read. Together with them it
+        would delay the streams for longer than they tolerate.
         """
         spare_ms = gap_ms * (1 - DUTY) - EVENT_MS - read_ms(tokens)
         allowed_ms = max(0.0, min(BURST_MS, spare_ms))
@@ -54,5 +54,5 @@
 
 
 def read_ms(tokens: int) -> float:
-    """Return how long an engine reads a prompt, in milliseconds."""
+    """Return how long an engine takes to read a prompt, in milliseconds."""
     return tokens / TOKENS_PER_MS
--- a/hawthornlead/gateway/recent_adapters.py
+++ b/hawthornlead/gateway/recent_adapters.py
@@ -1,19 +1,19 @@
-"""The adapters that an engine held lately, which it loads ten times as fast again."""
+"""The adapters that an engine held recently, which it reloads ten times as fast."""
 
 from .engine_slots import AdapterKey
 
-# How many an engine remembers for each of its slots, at least: what it loads again
-# within so many others comes fast, what it loads later is fetched again.
+# The minimum number of adapters that an engine remembers for each slot. An adapter that
+# is reloaded within this many others loads fast, a later one is fetched again.
 REMEMBERED_PER_SLOT = 6
 
 
 def remembered_adapters(adapter_slots: int) -> int:
-    """Return how many adapters an engine with so many slots remembers."""
+    """Return how many adapters an engine with ``adapter_slots`` remembers."""
     return REMEMBERED_PER_SLOT * adapter_slots
 
 
 class RecentAdapters:
-    """The newest adapters that were noted for one engine, ``limit`` at most.
+    """The newest adapters recorded for one engine, ``limit`` at most.
 
     ::
 
@@ -30,16 +30,16 @@
         return key in self._keys
 
     def set_limit(self, limit: int) -> None:
-        """Take another bound."""
+        """Set the maximum number of adapters."""
         self._limit = limit
-        self._drop_oldest()
+        self._evict_oldest()
 
     def add(self, key: AdapterKey) -> None:
-        """Note an adapter as the newest; the oldest beyond the bound is dropped."""
+        """Record an adapter as the newest, and drop the oldest beyond the limit."""
         self._keys.pop(key, None)
         self._keys[key] = None
-        self._drop_oldest()
+        self._evict_oldest()
 
-    def _drop_oldest(self) -> None:
+    def _evict_oldest(self) -> None:
         while len(self._keys) > self._limit:
             del self._keys[next(iter(self._keys))]
