--- a/hawthornlead/gateway/candidate_scorers.py
+++ b/hawthornlead/gateway/candidate_scorers.py
@@ -1,4 +1,4 @@
-"""The targets of a service as one VM knows them, for the choice among them.
+"""Scores for the targets of a service, from all that one VM knows of them.
 
 ::
 
@@ -29,20 +29,20 @@
 from .target_loads import TargetLoads
 from .target_tables import TargetTable
 
-# For so long what an owner said of its full slots is believed. Slots come free every
-# 0.1 s to 0.2 s at a busy engine.
-FULL_S = 0.25
+# How long an owner's report of full slots counts. At a busy engine a slot becomes free
+# every 0.1 s to 0.2 s.
+SLOT_WAIT_TTL_S = 0.25
 
 
 class _SlotWait(NamedTuple):
-    """How long a target's owner expects a slot to take, and until when that counts."""
+    """How long a target's owner expects the wait for a slot; valid ``until`` a time."""
 
     until: float
     wait_ms: float
 
 
 class CandidateScorer:
-    """Gathers what is known of each target that may take a request."""
+    """Scores the targets that may take a request."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
         excluded: frozenset[str],
         reading: float,
     ) -> list[Scored]:
-        """Return the usable targets of a service but the excluded, the best first.
+        """Return the usable targets of a service except the excluded, the best first.
 
         ``reading`` is what ``reading_share`` returns of the request.
         """
@@ -82,35 +82,35 @@
         holdings = {
             entry.target: self._targets.holding(entry, spec, key) for entry in entries
         }
-        homes = self._homes_of(spec, key, tuple(holdings))
+        homes = self._home_targets(spec, key, tuple(holdings))
         listed = shortlist(holdings, homes, excluded)
         candidates = []
         for entry in entries:
-            if entry.target not in listed or not self._wants_more(entry.target):
+            if entry.target not in listed or not self._accepts_requests(entry.target):
                 continue
             holding = holdings[entry.target]
             candidates.append(self._candidate(entry, spec, holding))
         return order_candidates(candidates, Demand(homes, bool(key.adapter), reading))
 
-    def _wants_more(self, target: str) -> bool:
-        """Whether this VM may send a request to a target now, as far as it says."""
+    def _accepts_requests(self, target: str) -> bool:
+        """Whether the target's backoff and limit allow a request of this VM now."""
         return not self._backoffs.wait_s(target) and not self._limits.wait_s(target)
 
     def mark_full(self, target: str, failure: Failure) -> None:
-        """Note that a target's owner has no slot to spare, if that is what failed."""
+        """Record that a target's owner has no free slot, if that is the failure."""
         if failure.kind is ErrorKind.NO_SLOT:
-            believed_until = self._timers.now() + FULL_S
+            valid_until = self._timers.now() + SLOT_WAIT_TTL_S
             wait_ms = 1000 * failure.retry_after_s
-            self._slot_waits[target] = _SlotWait(believed_until, wait_ms)
+            self._slot_waits[target] = _SlotWait(valid_until, wait_ms)
 
     def discard(self, target: str) -> None:
-        """Drop what was noted of a target that is gone, or started again."""
+        """Discard the slot wait of a target that is gone or has restarted."""
         self._slot_waits.pop(target, None)
 
-    def _homes_of(
+    def _home_targets(
         self, spec: ServiceSpec, key: AdapterKey, targets: tuple[str, ...]
     ) -> tuple[str, ...]:
-        """Return the homes of an adapter among a service's targets."""
+        """Return the home targets of an adapter in a service, in order."""
         if not key.adapter:
             return ()
         homes = self._homes.setdefault(spec.name, AdapterHomes())
@@ -131,23 +131,25 @@
             orderable=self._targets.is_orderable(target),
             suspect=self._healths.is_suspect(target),
             slow_ms=self._healths.cost_ms(target),
-            near=entry.data_centre == self._data_centre,
+            is_local=entry.data_centre == self._data_centre,
             prompts_ms=1000 * max(0.0, self._targets.turn_at(target) - now),
             arriving=self._targets.arriving(target),
             slot_wait_ms=self._slot_wait_ms(target, now),
             run_ms=run_ms,
-            # Requests of a plain service don't hold one another up for long.
+            # Requests of a plain service delay one another only briefly.
             batch_ms=FULL_BATCH_MS if spec.engine else run_ms,
         )
 
     def _slot_wait_ms(self, target: str, now: float) -> float:
-        """Return how long a slot was to be waited for a moment ago."""
-        told = self._slot_waits.get(target)
-        return told.wait_ms if told is not None and told.until > now else 0.0
+        """Return the last reported wait for a slot, 0 if it is out of date."""
+        reported = self._slot_waits.get(target)
+        return (
+            reported.wait_ms if reported is not None and reported.until > now else 0.0
+        )
 
 
 def reading_share(route: Route, request: CallerRequest) -> float:
-    """Return which share of a pause that its route bears a prompt takes to read."""
+    """Return the time to read a prompt as a share, 1 at most, of the event gap."""
     gap_ms = route.event_gap_ms - EVENT_MS
     if gap_ms <= 0:
         return 0.0
--- a/hawthornlead/gateway/placers.py
+++ b/hawthornlead/gateway/placers.py
@@ -144,7 +144,7 @@
             score=lambda excluded: self._survey.score(spec, key, excluded, reading),
             timers=self._timers,
         )
-        while tries.left:
+        while tries.may_continue:
             slack_s = self._slot_due_at(wanted) - self._timers.now()
             if not tries.candidates:
                 return Err(self._held_back(spec) or failure)
--- a/hawthornlead/gateway/request_forwards.py
+++ b/hawthornlead/gateway/request_forwards.py
@@ -1,8 +1,8 @@
-"""The way of one request: match, place, send, and answer whole, once and truly.
+"""Forwarding of one request: match its route, place it, send it, answer the caller.
 
-What is known after each failure decides what may follow. Until bytes of a request
-were sent it has not run; a target's refusal says so too; after anything else it may
-have run, and only a request that may be repeated goes to another target.
+What is known after a failure decides what may follow. A request has not run if none of
+its bytes were sent or if the target says that it refused it. After any other failure it
+may have run, and then only a repeatable request goes to another target.
 """
 
 from hashlib import blake2b
@@ -21,15 +21,15 @@
 from .target_attempts import MIN_REMAINING_S, AttemptOutcome, Attempts
 from .workspaces import ranked
 
-# A request is offered to so many targets at most that refuse it unrun.
+# Targets that may refuse a request without running it before it is refused.
 MAX_OFFERS = 4
-# How long to wait for an adapter that was expected to be there.
-TOO_EARLY_S = 0.05
-# A VM that was cut off hears of newer configurations about so long after its return.
+# Pause before another try at a target whose adapter was expected to be ready.
+TOO_EARLY_BACKOFF_S = 0.05
+# A VM that was cut off gets newer configurations about this long after its return.
 STALE_RETRY_S = 0.3
-# These tell a caller that its request has not run and never will.
+# Statuses that tell a caller that its request has not run and never will.
 UNRUN_STATUSES = frozenset((404, 429, 503))
-UNRUN_ENDINGS = frozenset(
+UNRUN_OUTCOMES = frozenset(
     (
         AttemptOutcome.UNREACHED,
         AttemptOutcome.UNWANTED,
@@ -40,7 +40,7 @@
 
 
 class RequestForward:
-    """One request of a caller on its way."""
+    """One request of a caller, from its arrival to its answer."""
 
     def __init__(self, parts: GatewayParts, call: CallerCall):
         self._parts = parts
@@ -51,17 +51,17 @@
         self._deadline_at = 0.0
         self._excluded: set[str] = set()
         self._attempts: Attempts | None = None
-        self._waited = False
+        self._retried_early = False
         self._may_have_run = False
 
     @property
     def deadline_s(self) -> float | None:
-        """How long the caller waits, None where it doesn't say."""
+        """How long the caller waits, None if it doesn't say."""
         deadline_ms = self._request.deadline_ms
         return None if deadline_ms is None else deadline_ms / 1000
 
     async def run(self) -> None:
-        """Serve the request to its end."""
+        """Serve the request and answer its caller."""
         parts = self._parts
         if parts.routes is None:
             self._reporter.refuse(
@@ -88,7 +88,7 @@
                 parts.quotas.refund(*charged.ok_value)
 
     async def _serve_for(self, workspace: Workspace | None, route: Route) -> None:
-        """Serve the request at its route, in the name of a workspace if it has one."""
+        """Serve the request at its route, for a workspace if it has one."""
         wait_ms = route.timeout_ms
         if self._request.deadline_ms is not None:
             wait_ms = min(wait_ms, self._request.deadline_ms)
@@ -108,7 +108,7 @@
         await self._serve(route, service)
 
     def _find_workspace(self, route: Route) -> Result[Workspace | None, Failure]:
-        """Return whose key the request carries, None where it needs none."""
+        """Return the workspace of the request's key, None if the route needs no key."""
         workspaces = self._parts.workspaces
         if not workspaces.needs_key(route):
             return Ok(None)
@@ -128,14 +128,14 @@
         return admitted.map(lambda _: (workspace.name, cost))
 
     def refuse(self, failure: Failure) -> None:
-        """Answer with a failure, unless an answer was begun or the caller left."""
+        """Answer with a failure, unless an answer was started or the caller left."""
         self._reporter.refuse(failure)
 
     def _refuse_unknown(self, failure: Failure) -> None:
-        """Refuse what the configuration in force doesn't know.
+        """Refuse a request that the configuration in force doesn't know.
 
-        A newer one may know it, if this VM was cut off from the store and the others.
-        Its caller can come back then, or go to another VM.
+        A newer configuration may know it if this VM was cut off from the store and the
+        other VMs. The caller may then retry here or at another VM.
         """
         if not self._parts.configuration_is_current():
             detail = f"{failure.detail}, by a configuration that may be old"
@@ -143,13 +143,13 @@
         self._reporter.refuse(failure)
 
     async def _serve(self, route: Route, service: str) -> None:
-        convicted = self._parts.suspects.check(self._fingerprint())
-        if convicted.is_err():
-            failure = convicted.err_value
+        checked = self._parts.suspects.check(self._fingerprint())
+        if checked.is_err():
+            failure = checked.err_value
             self._reporter.refuse(failure._replace(kind=ErrorKind.OVERLOADED))
             return
         while True:
-            wanted = PlacementRequest(
+            placement = PlacementRequest(
                 route,
                 service,
                 self._request,
@@ -157,61 +157,63 @@
                 self._deadline_at,
                 frozenset(self._excluded),
             )
-            placed = await self._parts.placer.place(wanted)
+            placed = await self._parts.placer.place(placement)
             if placed.is_err():
-                self._end_unplaced(placed.err_value)
+                self._refuse_unplaced(placed.err_value)
                 return
             self._reporter.placed(placed.ok_value)
             try:
-                ending = await self._attempt(route, service, placed.ok_value)
+                outcome = await self._attempt(route, service, placed.ok_value)
             finally:
                 self._parts.placer.notify_ended(placed.ok_value)
-            if ending is None:
+            if outcome is None:
                 return
-            if not await self._goes_on(route, placed.ok_value, ending):
+            if not await self._continues(route, placed.ok_value, outcome):
                 return
 
     async def _attempt(
         self, route: Route, service: str, placed: Placed
     ) -> AttemptOutcome | None:
-        """Send the request to its target; None if it isn't sent to any after all."""
+        """Send the request to its target; None if it goes to no target any more."""
         if self._call.left:
             return None
         if self._reporter.sent and not self._parts.budget(service).acquire():
-            self._end_unplaced(
+            self._refuse_unplaced(
                 Failure(ErrorKind.OVERLOADED, "the retry budget is spent", 0.5)
             )
             return None
         return await self._attempts.make(route, placed)
 
-    async def _goes_on(
-        self, route: Route, placed: Placed, ending: AttemptOutcome
+    async def _continues(
+        self, route: Route, placed: Placed, outcome: AttemptOutcome
     ) -> bool:
         """Whether another attempt follows; if not, the caller has its answer."""
         target = placed.entry.target
-        self._may_have_run = self._may_have_run or ending not in UNRUN_ENDINGS
-        if ending is AttemptOutcome.DONE:
+        self._may_have_run = self._may_have_run or outcome not in UNRUN_OUTCOMES
+        if outcome is AttemptOutcome.DONE:
             return False
-        if ending is AttemptOutcome.LEFT:
+        if outcome is AttemptOutcome.LEFT:
             self._reporter.caller_gone(target)
             return False
         self._reporter.attempt_failed(
-            target, ending.value, self._attempts.left_s, self._attempts.loss
+            target, outcome.value, self._attempts.remaining_s, self._attempts.loss
         )
-        if ending is AttemptOutcome.TOO_EARLY and not self._waited:
+        if outcome is AttemptOutcome.TOO_EARLY and not self._retried_early:
             # The adapter is a few milliseconds late, or the target is full. One more
-            # try where it is about to be costs less than a load elsewhere.
-            self._waited = True
-            await self._parts.timers.sleep(TOO_EARLY_S)
+            # try there costs less than a load elsewhere.
+            self._retried_early = True
+            await self._parts.timers.sleep(TOO_EARLY_BACKOFF_S)
             return True
         self._excluded.add(target)
-        if ending is AttemptOutcome.LATE:
-            self._end_late()
+        if outcome is AttemptOutcome.LATE:
+            self._answer_late()
             return False
-        if ending in UNRUN_ENDINGS:
+        if outcome in UNRUN_OUTCOMES:
             if len(self._excluded) < MAX_OFFERS and self._in_time():
                 return True
-            self._end_unplaced(Failure(ErrorKind.OVERLOADED, "no target took it", 0.4))
+            self._refuse_unplaced(
+                Failure(ErrorKind.OVERLOADED, "no target took it", 0.4)
+            )
             return False
         self._reporter.ran += 1
         may_repeat = route.repeatable or (
@@ -219,31 +221,31 @@
         )
         if may_repeat and self._reporter.ran < route.attempts and self._in_time():
             return True
-        self._end_failed()
+        self._answer_failed()
         return False
 
     def _in_time(self) -> bool:
-        return self._attempts.left_s > MIN_REMAINING_S
+        return self._attempts.remaining_s > MIN_REMAINING_S
 
     def _resumes(self) -> bool:
         self._attempts.last_event = self._stream.last_event
         return bool(self._attempts.last_event)
 
-    # The caller's answer
+    # Answers to the caller
 
-    def _end_unplaced(self, failure: Failure) -> None:
-        """Answer a request that goes to no further target."""
+    def _refuse_unplaced(self, failure: Failure) -> None:
+        """Refuse a request that goes to no further target."""
         if self._reporter.ran:
-            self._end_failed()
+            self._answer_failed()
             return
         if failure.answer.status not in UNRUN_STATUSES:
-            # What failed is a question to another VM or to an engine about a load.
-            # The request itself was not sent, and its caller may send it again.
+            # The failure is that of a call to another VM or to an engine about a load.
+            # The request itself was not sent, so its caller may send it again.
             failure = failure._replace(kind=ErrorKind.NO_TARGET)
         self._reporter.refuse(failure)
 
-    def _end_failed(self) -> None:
-        """Answer a request that has run, or may have, without a whole answer."""
+    def _answer_failed(self) -> None:
+        """Answer a request that may have run but got no complete answer."""
         if self._stream.begun:
             lost = self._attempts.loss is not None
             self._reporter.cut("the target is lost" if lost else "the target failed")
@@ -253,17 +255,15 @@
             return
         self._reporter.refuse(self._parts.loss_detector.failure(self._attempts.loss))
 
-    def _end_late(self) -> None:
-        """Answer a request whose deadline has passed while a target had it."""
+    def _answer_late(self) -> None:
+        """Answer a request whose deadline passed while a target had it."""
         if self._stream.begun:
             self._reporter.cut("the deadline passed")
             return
         self._reporter.refuse(Failure(ErrorKind.DEADLINE_PASSED, "the deadline passed"))
 
-    # Small queries
-
     def _fingerprint(self) -> bytes:
-        """Name the request as its caller would send it again."""
+        """Return a digest that is the same if the caller sends the request again."""
         digest = blake2b(digest_size=8)
         digest.update(self._call.method.encode())
         digest.update(self._call.path.encode())
--- a/hawthornlead/gateway/request_reporters.py
+++ b/hawthornlead/gateway/request_reporters.py
@@ -1,4 +1,4 @@
-"""What is told of one request: to its caller, in the log and in the metrics."""
+"""Reports on one request: answers to its caller, log events and metrics."""
 
 from ..errors import Failure
 from ..events import EventKind
@@ -20,9 +20,9 @@
 
 
 class RequestReporter:
-    """Tells how one request goes and ends.
+    """Reports the progress and the end of one request.
 
-    ``sent`` counts the attempts whose bytes left, ``ran`` those that may have run.
+    ``sent`` counts the attempts whose bytes were sent, ``ran`` those that may have run.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         self.ran = 0
 
     def placed(self, placed: Placed) -> None:
-        """Note which target the request goes to, and by what."""
+        """Report which target the request goes to, and why."""
         candidate = placed.candidate
         self._emit(
             EventKind.REQUEST_PLACED,
@@ -56,33 +56,33 @@
         )
 
     def caller_gone(self, target: str) -> None:
-        """Note that the caller left while a target had its request."""
+        """Report that the caller left while a target had its request."""
         after_ms = self._since_ms(self._call.arrived_at)
         self._count("caller gone", "")
         self._emit(EventKind.CALLER_GONE, target=target, after_ms=after_ms)
 
     def attempt_failed(
-        self, target: str, ending: str, left_s: float, loss: Loss | None
+        self, target: str, outcome: str, remaining_s: float, loss: Loss | None
     ) -> None:
-        """Note how an attempt failed, and by what its target is lost, if it is.
+        """Report how an attempt failed, and the proof if its target is lost.
 
-        ``left_s`` is left of the deadline.
+        ``remaining_s`` is the time left before the deadline.
         """
-        self._parts.metrics.attempts.labels(ending).inc()
+        self._parts.metrics.attempts.labels(outcome).inc()
         self._emit(
             EventKind.ATTEMPT_FAILED,
             target=target,
-            ending=ending,
+            ending=outcome,
             proof=loss.value if loss is not None else None,
             sent=self.sent,
             ran=self.ran,
-            left_ms=round(1000 * left_s),
+            left_ms=round(1000 * remaining_s),
         )
 
     def served(
         self, entry: TargetEntry, status: int, relay: StreamRelay | None
     ) -> None:
-        """Note that the caller has its whole answer."""
+        """Report that the caller has its complete answer."""
         arrived_at = self._call.arrived_at
         first_ms = gap_ms = None
         if relay is not None and relay.first_at is not None:
@@ -103,13 +103,13 @@
         )
 
     def answer(self, answer: WholeAnswer) -> None:
-        """Pass a target's whole answer on."""
+        """Forward a target's complete answer."""
         head = answer.head
         headers = answer_headers(head.headers)
         self._call.answer(head.status, head.reason, headers, answer.body)
 
     def refuse(self, failure: Failure) -> None:
-        """Answer with a failure, unless an answer was begun or the caller left."""
+        """Answer with a failure, unless an answer was started or the caller left."""
         if self._call.left or self._call.answered:
             return
         status = failure.answer.status
@@ -130,7 +130,7 @@
         self._call.answer(status, reason, headers, failure.detail.encode())
 
     def cut(self, cause: str) -> None:
-        """Break off an answer that was begun and can't be ended."""
+        """Abort an answer that was started and can't be completed."""
         self._count("cut", cause)
         events, last = self._stream.events, self._stream.last_event
         self._emit(EventKind.ANSWER_CUT, cause=cause, events=events, last=last)
--- a/hawthornlead/gateway/target_attempts.py
+++ b/hawthornlead/gateway/target_attempts.py
@@ -1,4 +1,4 @@
-"""One attempt: a request at one target, and how that ends for request and target."""
+"""Attempts: sending one request to one target, and the outcome for both of them."""
 
 import asyncio
 from enum import Enum
@@ -15,14 +15,14 @@
 from .target_liveness import LossSubscriber
 from .target_probes import MISDIRECTED_STATUS
 
-# What is left of a deadline must allow this much, else nothing is begun.
+# No attempt starts with less than this left of the deadline.
 MIN_REMAINING_S = 0.02
-# A target that says nothing for this long while others answer is slow, or dark.
-SILENT_S = 1.2
+# A streaming target that sends nothing for this long counts a failure.
+SILENCE_TIMEOUT_S = 1.2
 
 
 class AttemptOutcome(Enum):
-    """How one attempt at one target has ended."""
+    """The outcome of one attempt at one target."""
 
     DONE = "done"
     LEFT = "the caller left"
@@ -37,10 +37,10 @@
 
 
 class Attempts:
-    """The attempts of one request, each at the target that it is handed.
+    """The attempts of one request, each at a target that the placer chose.
 
-    ``failed_answer`` is the last whole answer that told of a failure and was kept back,
-    ``loss`` the proof by which the last attempt's target was lost, if it was.
+    ``failed_answer`` is the last complete answer that was a failure and was held back.
+    ``loss`` is the proof by which the last attempt's target was lost, if it was.
     """
 
     def __init__(
@@ -62,19 +62,19 @@
         self._reporter = reporter
         self._deadline_at = deadline_at
         self._fingerprint = fingerprint
-        # The target's places, and its requests when the attempt began.
+        # The target's slots, and its requests when the attempt started.
         self._slots = self._running = 0
         self.failed_answer: WholeAnswer | None = None
         self.loss: Loss | None = None
         self.last_event = ""
 
     @property
-    def left_s(self) -> float:
-        """What is left of the deadline."""
+    def remaining_s(self) -> float:
+        """The time left before the deadline."""
         return self._deadline_at - self._parts.timers.now()
 
     async def make(self, route: Route, placed: Placed) -> AttemptOutcome:
-        """Send the request to a target and pass its answer on."""
+        """Send the request to a target and forward its answer."""
         entry = placed.entry
         loss_detector = self._parts.loss_detector
         self.loss = None
@@ -85,7 +85,7 @@
             return AttemptOutcome.UNWANTED
         opened = await self._parts.connections.open(entry.address)
         if opened.is_err():
-            self._blame(entry, gone=True)
+            self._count_failure(entry, gone=True)
             return AttemptOutcome.UNREACHED
         exchange = opened.ok_value
         if self._call.left:
@@ -104,16 +104,16 @@
         )
         try:
             if route.kind is RouteKind.STREAMING:
-                return await self._stream_from(route, placed, exchange, subscriber)
-            return await self._fetch_from(route, entry, exchange, subscriber)
+                return await self._relay_stream(route, placed, exchange, subscriber)
+            return await self._fetch_whole(route, entry, exchange, subscriber)
         finally:
             loss_detector.unsubscribe(subscriber)
             self._parts.loads.on_request_ended(entry.target, placed.key)
 
     def _may_send(self, placed: Placed) -> bool:
-        """Whether the target wants the request yet.
+        """Whether the target still accepts the request.
 
-        It may have asked for rest, or named a limit, after the request was placed.
+        It may have asked for backoff, or named a limit, after the request was placed.
         """
         target = placed.entry.target
         if self._parts.backoffs.wait_s(target):
@@ -131,7 +131,7 @@
         sent_at = self._parts.timers.now()
         headers = request_headers(
             self._call.headers,
-            deadline_ms=self.left_s * 1000,
+            deadline_ms=self.remaining_s * 1000,
             target=entry.target,
             priority=min(9, max(0, route.priority)),
             last_event=self.last_event,
@@ -145,11 +145,11 @@
             self._call.body,
             request_id=self._request.request_id,
             sink=subscriber.watch_answer(
-                sink, lambda head: self._note_head(entry, head, sent_at)
+                sink, lambda head: self._apply_notices(entry, head, sent_at)
             ),
         )
 
-    async def _fetch_from(
+    async def _fetch_whole(
         self,
         route: Route,
         entry: TargetEntry,
@@ -161,7 +161,7 @@
         self._send(route, entry, exchange, subscriber, answer)
         waiting = {exchange.ended, self._call.gone, subscriber.lost}
         await asyncio.wait(
-            waiting, timeout=self.left_s, return_when=asyncio.FIRST_COMPLETED
+            waiting, timeout=self.remaining_s, return_when=asyncio.FIRST_COMPLETED
         )
         if not exchange.ended.done():
             exchange.close()
@@ -170,33 +170,33 @@
             if subscriber.lost.done():
                 self.loss = subscriber.lost.result()
                 return AttemptOutcome.LOST
-            self._blame(entry)
+            self._count_failure(entry)
             return AttemptOutcome.LATE
         if answer.head is None or not exchange.whole:
             exchange.close()
-            return self._note_lost(entry, exchange)
+            return self._on_answer_lost(entry, exchange)
         exchange.release()
         if answer.head.signs.not_run:
-            return self._note_refused(entry, answer.head.status, None)
-        self._note_wait(entry, sent_at, answer.head.status)
-        return self._take_whole(route, entry, answer)
+            return self._on_refused(entry, answer.head.status, None)
+        self._record_wait(entry, sent_at, answer.head.status)
+        return self._forward_whole(route, entry, answer)
 
-    def _take_whole(
+    def _forward_whole(
         self, route: Route, entry: TargetEntry, answer: WholeAnswer
     ) -> AttemptOutcome:
         head = answer.head
         if not head.signs.sealed or head.status in (408, 421, 429, 503):
-            # These statuses promise that nothing ran, which this target did not say.
+            # These statuses mean that nothing ran, which the target didn't state.
             return AttemptOutcome.FAILED
         again = route.repeatable and self._reporter.ran + 1 < route.attempts
-        if head.status >= 500 and again and self.left_s > MIN_REMAINING_S:
+        if head.status >= 500 and again and self.remaining_s > MIN_REMAINING_S:
             self.failed_answer = answer
             return AttemptOutcome.FAILED
         self._reporter.answer(answer)
         self._reporter.served(entry, head.status, None)
         return AttemptOutcome.DONE
 
-    async def _stream_from(
+    async def _relay_stream(
         self,
         route: Route,
         placed: Placed,
@@ -210,15 +210,18 @@
         waiting = {exchange.ended, self._call.gone, subscriber.lost}
         silent = False
         while not any(each.done() for each in waiting):
-            left_s = self.left_s
-            if left_s <= 0:
+            remaining_s = self.remaining_s
+            if remaining_s <= 0:
                 break
-            if not silent and self._parts.timers.now() - relay.active_at > SILENT_S:
+            if (
+                not silent
+                and self._parts.timers.now() - relay.active_at > SILENCE_TIMEOUT_S
+            ):
                 silent = True
-                self._blame(entry)
+                self._count_failure(entry)
             await asyncio.wait(
                 waiting,
-                timeout=min(left_s, SILENT_S),
+                timeout=min(remaining_s, SILENCE_TIMEOUT_S),
                 return_when=asyncio.FIRST_COMPLETED,
             )
         if relay.first_at is not None:
@@ -236,7 +239,7 @@
     ) -> AttemptOutcome:
         entry = placed.entry
         if not exchange.ended.done():
-            # Closed before anything follows: a target that yet lives drops the run.
+            # Close first, so that a target that is alive cancels the run.
             exchange.close()
             if self._call.left:
                 return AttemptOutcome.LEFT
@@ -246,21 +249,21 @@
             return AttemptOutcome.LATE
         if relay.head is None:
             exchange.close()
-            return self._note_lost(entry, exchange)
+            return self._on_answer_lost(entry, exchange)
         if not relay.accepted:
             return self._end_refused_stream(placed, exchange, relay)
-        # Without a length the end of an answer is the end of its connection, which a
-        # target that breaks down also brings about; only whole events count then.
+        # An answer without a length ends with its connection, and so does one of a
+        # target that crashes. Then only complete events count.
         if not exchange.whole or (relay.rest and not relay.head.framed):
             exchange.close()
-            self._note_lost(entry, exchange)
+            self._on_answer_lost(entry, exchange)
             return AttemptOutcome.BROKEN
         exchange.release()
         relay.flush()
         if not self._stream.begun:
             self._stream.send(relay.head, b"")
         self._call.finish()
-        self._note_run(entry, sent_at)
+        self._record_run(entry, sent_at)
         self._reporter.served(entry, relay.head.status, relay)
         return AttemptOutcome.DONE
 
@@ -270,11 +273,11 @@
         entry, head = placed.entry, relay.head
         if not exchange.whole:
             exchange.close()
-            return self._note_lost(entry, exchange)
+            return self._on_answer_lost(entry, exchange)
         exchange.release()
         if head.signs.not_run:
-            return self._note_refused(entry, head.status, placed)
-        self._blame(entry)
+            return self._on_refused(entry, head.status, placed)
+        self._count_failure(entry)
         if self._stream.begun or not head.signs.sealed:
             return AttemptOutcome.FAILED
         answer = WholeAnswer()
@@ -286,12 +289,12 @@
         self._reporter.served(entry, head.status, None)
         return AttemptOutcome.DONE
 
-    # What is learned of the target
+    # Records of the target
 
-    def _note_head(self, entry: TargetEntry, head: Head, sent_at: float) -> None:
-        """Take what a target says of itself with each answer.
+    def _apply_notices(self, entry: TargetEntry, head: Head, sent_at: float) -> None:
+        """Apply the notices that a target sends with each answer.
 
-        One that doesn't answer under the id it was asked for is another target.
+        A target that doesn't answer under the requested id is another one.
         """
         if head.status == MISDIRECTED_STATUS or not self._parts.targets.is_current(
             entry
@@ -304,51 +307,51 @@
         limit_per_s = head.signs.limit_per_s
         self._parts.limits.record_answer(entry.incarnation, limit_per_s, sent_at)
 
-    def _blame(self, entry: TargetEntry, gone: bool = False) -> None:
-        """Count a failure against a target, if it is that of the start known now.
+    def _count_failure(self, entry: TargetEntry, gone: bool = False) -> None:
+        """Count a failure against a target, unless it was of a former incarnation.
 
-        Requests of a former start fail for some seconds after a restart. Counted
-        against the next one, it would be left aside though it is well.
+        Requests of a former incarnation fail for some seconds after a restart. If they
+        counted against the new one, it would be avoided although it is healthy.
         """
         if self._parts.targets.is_current(entry):
             self._parts.healths.record_failure(entry.target, gone)
 
-    def _note_lost(self, entry: TargetEntry, exchange: Exchange) -> AttemptOutcome:
-        self._blame(entry)
+    def _on_answer_lost(self, entry: TargetEntry, exchange: Exchange) -> AttemptOutcome:
+        self._count_failure(entry)
         self._parts.crash_watch.on_connection_broken(entry, self._fingerprint)
         return AttemptOutcome.LOST
 
-    def _note_refused(
+    def _on_refused(
         self, entry: TargetEntry, status: int, placed: Placed | None
     ) -> AttemptOutcome:
         if self._parts.backoffs.wait_s(entry.target):
-            # It sheds load, which says nothing of its health or of the adapter.
+            # The target sheds load, which shows nothing of its health or the adapter.
             return AttemptOutcome.REFUSED
         key = placed.key if placed is not None else None
         if key is None or not key.adapter:
-            self._blame(entry)
+            self._count_failure(entry)
             return AttemptOutcome.REFUSED
         if not self._parts.targets.is_current(entry):
             return AttemptOutcome.REFUSED
         self._parts.placer.notify_missing(entry.target, key)
         if status == MISDIRECTED_STATUS and placed.candidate.holding is Holding.READY:
-            # One that was loaded for this request is said to be there by foresight and
-            # may be late. Given up, it would be fetched again at the next engine, and
-            # the more is fetched the later each fetch is.
+            # An adapter that is loaded for this request counts as ready at its expected
+            # arrival and may be late, so it isn't marked absent. Else it would be
+            # fetched again at the next engine, and more fetches slow down each of them.
             self._parts.targets.mark_absent(entry.target, key)
             return AttemptOutcome.REFUSED
         return AttemptOutcome.TOO_EARLY
 
-    def _note_wait(self, entry: TargetEntry, sent_at: float, status: int) -> None:
+    def _record_wait(self, entry: TargetEntry, sent_at: float, status: int) -> None:
         if status >= 500:
-            self._blame(entry)
+            self._count_failure(entry)
             return
         wait_ms = (self._parts.timers.now() - sent_at) * 1000
         self._parts.healths.record_answer(entry.target, wait_ms)
-        self._note_run(entry, sent_at)
+        self._record_run(entry, sent_at)
 
-    def _note_run(self, entry: TargetEntry, sent_at: float) -> None:
-        """Learn how long requests of a service run."""
+    def _record_run(self, entry: TargetEntry, sent_at: float) -> None:
+        """Record how long requests of a service run."""
         spec = self._parts.configuration.service(entry.service)
         if spec is not None:
             took_s = self._parts.timers.now() - sent_at
--- a/hawthornlead/gateway/target_choices.py
+++ b/hawthornlead/gateway/target_choices.py
@@ -1,13 +1,13 @@
-"""Which target a request goes to: the one with the soonest first token, as estimated.
+"""The choice of the target with the earliest estimated first token for a request.
 
-A pure decision on what one VM knows of each target, testable without a network::
+A pure function of what one VM knows of each target::
 
     best = order_candidates(candidates, demand)[0]
 
-All costs are in milliseconds of waiting. An adapter that isn't ready costs its load
-and, beyond that, what a load takes from others: a fetch from the weight store and a
-slot. So a second copy of a hot adapter is made only when its targets are clearly more
-loaded than another.
+All costs are in milliseconds of waiting. An adapter that isn't ready costs the time of
+its load and what the load takes from others: a fetch from the weight store and a slot.
+So a hot adapter gets a second copy only when its targets are clearly more loaded than
+another one.
 """
 
 from enum import Enum
@@ -27,16 +27,16 @@
     UNKNOWN = "unknown"
 
 
-# Where a request can run soon without a fetch.
+# Holdings with which a request can run soon without a fetch.
 HELD = frozenset({Holding.READY, Holding.ARRIVING, Holding.OLD_VERSION, Holding.RECENT})
-# So many homes of an adapter are compared at most: the least loaded of 16 is nearly
-# that of all.
+# Home targets of an adapter that are compared at most: the least loaded of 16 is almost
+# the least loaded of all.
 MAX_COMPARED_HOMES = 16
-# What has to be ordered onto a target takes a slot there.
-LOADED_ANEW = frozenset({Holding.OLD_VERSION, Holding.RECENT, Holding.ABSENT})
+# Holdings that need an order for a load, which takes a slot at the target.
+NEEDS_LOAD = frozenset({Holding.OLD_VERSION, Holding.RECENT, Holding.ABSENT})
 
-# What a fuller batch costs: a step grows little with each request beside it, but
-# prompts are read between the tokens of others. At a full batch, about this much.
+# The delay beside a full batch. A step grows little with each request in the batch, but
+# the prompts of others are read between the tokens.
 FULL_BATCH_MS = 500.0
 
 
@@ -44,10 +44,10 @@
     """A target as one VM knows it.
 
     ``running`` counts the requests of all VMs. ``orderable`` tells whether its owner
-    can be asked for a load. ``slow_ms`` is how much later than others it was lately,
-    ``prompts_ms`` how long a prompt waits for its turn, and ``slot_wait_ms`` how long
-    a load waits for a slot. ``arriving`` adapters are being fetched there. A request
-    runs ``run_ms`` there, and is held up for ``batch_ms`` beside a full batch.
+    can be asked for a load. ``slow_ms`` is the cost of its recent slow and failed
+    answers, ``prompts_ms`` how long a prompt waits for its turn, and ``slot_wait_ms``
+    how long a load waits for a slot. ``arriving`` adapters are being fetched there. A
+    request runs ``run_ms`` there, and is delayed by ``batch_ms`` beside a full batch.
     """
 
     target: str
@@ -57,7 +57,7 @@
     orderable: bool
     suspect: bool
     slow_ms: float
-    near: bool
+    is_local: bool
     prompts_ms: float = 0.0
     arriving: int = 0
     slot_wait_ms: float = 0.0
@@ -69,8 +69,7 @@
     """What a request needs: an adapter, or only a base model or no model.
 
     ``homes`` are the targets in the order in which they should hold it. ``reading`` is
-    the share of a pause between events, as its route bears it, that its prompt takes to
-    be read.
+    the time to read its prompt as a share of its route's gap between events.
     """
 
     homes: tuple[str, ...]
@@ -85,26 +84,26 @@
     candidate: Candidate
 
 
-# A cold load takes 250 ms and is seen 100 ms later. The rest is what it takes from
-# others: a place among the few fetches that run at full speed.
+# A cold load takes 250 ms and is reported 100 ms later. The rest is its cost to others:
+# one of the few fetches that run at full speed.
 ABSENT_MS = 500.0
-# One that was held lately takes 25 ms to load, is seen 110 ms later and is not fetched.
+# A recently held adapter loads in 25 ms without a fetch and is reported 110 ms later.
 RECENT_MS = 170.0
 ARRIVING_MS = 200.0
 OLD_VERSION_MS = 450.0
-# An engine fetches four adapters at once, 250 ms each; what comes beyond waits for one
-# of them. A third already makes it likely that another VM asks for the fourth.
+# An engine fetches four adapters at once, 250 ms each, and further ones wait. A third
+# fetch already makes it likely that another VM requests the fourth.
 FREE_FETCHES = 2
-FETCH_TURN_MS = 80.0
-# All VMs must load a cold adapter on the same target, or each brings its own copy. Its
-# targets stand in an order that all agree on; being one further down costs this much.
+FETCH_WAIT_MS = 80.0
+# All VMs must load a cold adapter on the same target, or each makes its own copy. So
+# all VMs use the same order of its home targets, and each step down costs this much.
 HOME_STEP_MS = 90.0
-MOST_HOME_MS = 270.0
-# A prompt holds up all streams that run beside it while it is read. A long one makes
-# each of them late, so that it goes where few run; this much for each of them.
-HELD_UP_MS = 60.0
-# Links between data centres are narrow, and take a millisecond or two.
-FAR_MS = 4.0
+MAX_HOME_MS = 270.0
+# A prompt delays all streams beside it while it is read. This cost for each of them
+# sends long prompts where few streams run.
+PROMPT_DELAY_MS = 60.0
+# Links between data centres have little bandwidth and 1 to 2 ms of latency.
+REMOTE_MS = 4.0
 # A suspect target is a last resort.
 SUSPECT_MS = 20000.0
 
@@ -112,9 +111,9 @@
 def shortlist(
     holdings: dict[str, Holding], homes: tuple[str, ...], excluded: frozenset[str]
 ) -> set[str]:
-    """Return the targets worth a closer look.
+    """Return the targets to score.
 
-    These are all that hold what is needed, or held it lately, and the first homes.
+    These are all that hold what is needed, or held it recently, and the first homes.
     """
     listed = {
         target
@@ -130,7 +129,7 @@
     scored = []
     ranks = {target: rank for rank, target in enumerate(demand.homes)}
     for candidate in candidates:
-        home_ms = min(MOST_HOME_MS, HOME_STEP_MS * ranks.get(candidate.target, 0))
+        home_ms = min(MAX_HOME_MS, HOME_STEP_MS * ranks.get(candidate.target, 0))
         cost = _cost(candidate, demand, home_ms)
         if cost is not None:
             scored.append(Scored(cost, candidate))
@@ -139,15 +138,15 @@
 
 
 def with_slot_wait(scored: list[Scored], target: str, wait_ms: float) -> list[Scored]:
-    """Return candidates as they stand once a target is known to be full for so long.
+    """Return candidates with the wait for a slot at one target changed.
 
-    A request that meets full engines asks many of them within milliseconds, in which
-    nothing else changes, so that not all are estimated anew each time.
+    A request that meets full engines asks many of them within milliseconds. Nothing
+    else changes meanwhile, so the others needn't be scored again.
     """
     changed = []
     for each in scored:
         candidate = each.candidate
-        if candidate.target == target and candidate.holding in LOADED_ANEW:
+        if candidate.target == target and candidate.holding in NEEDS_LOAD:
             cost_ms = each.cost_ms + wait_ms - candidate.slot_wait_ms
             each = Scored(cost_ms, candidate._replace(slot_wait_ms=wait_ms))
         changed.append(each)
@@ -156,7 +155,7 @@
 
 
 def queue_ms(candidate: Candidate) -> float:
-    """Return the estimated wait at a target beside the requests that it has.
+    """Return the estimated delay at a target by the requests that it has.
 
     Beyond a full batch a request waits for another to end.
     """
@@ -174,10 +173,10 @@
     cost = queue_ms(candidate) + candidate.slow_ms
     if candidate.suspect:
         cost += SUSPECT_MS
-    if not candidate.near:
-        cost += FAR_MS
+    if not candidate.is_local:
+        cost += REMOTE_MS
     cost += candidate.prompts_ms
-    cost += HELD_UP_MS * candidate.running * demand.reading**2
+    cost += PROMPT_DELAY_MS * candidate.running * demand.reading**2
     if candidate.holding is Holding.READY:
         return cost
     if not demand.adapter:
@@ -191,9 +190,9 @@
 
 
 def _cost_of_load(cost: float, candidate: Candidate, home_ms: float) -> float | None:
-    """Return the cost with that of a load to be ordered, None if that can't be."""
+    """Return the cost with that of an ordered load, None if none can be ordered."""
     cost += candidate.slot_wait_ms
-    cost += FETCH_TURN_MS * max(0, candidate.arriving - FREE_FETCHES)
+    cost += FETCH_WAIT_MS * max(0, candidate.arriving - FREE_FETCHES)
     if candidate.holding is Holding.OLD_VERSION:
         return cost + OLD_VERSION_MS
     if candidate.holding is Holding.RECENT:
--- a/hawthornlead/gateway/target_limits.py
+++ b/hawthornlead/gateway/target_limits.py
@@ -1,7 +1,7 @@
-"""The limits that targets name: so many requests a second, from all VMs together.
+"""The rate limits that targets name: requests a second from all VMs together.
 
-A VM that is told a limit tells the others at once, and again while the target goes on
-naming it. Each VM then sends its even share.
+A VM that gets a limit in an answer announces it to the other VMs at once, and again
+while the target repeats it. Each VM then sends its even share.
 """
 
 from collections.abc import Callable
@@ -14,42 +14,42 @@
 from ..timers import TimerService
 from .records import Incarnation
 
-# A limit that no answer and no other VM has confirmed for so long counts no more; where
-# few requests go, so many of them must have been due.
-KEPT_S = 5.0
-KEPT_REQUESTS = 3.0
-MOST_KEPT_S = 30.0
-# The other VMs are told again after so long, those among them that have missed it.
-RETELL_S = 1.0
-# A limit that differs by less than this share is the one that was told before.
-SAME_SHARE = 0.1
+# A limit expires if no answer and no other VM confirms it for this long. Where requests
+# are rare, this many of them must have been due before it expires.
+MIN_LIMIT_TTL_S = 5.0
+TTL_REQUESTS = 3.0
+MAX_LIMIT_TTL_S = 30.0
+# A repeated limit is announced again after this long, for VMs that missed it before.
+ANNOUNCE_INTERVAL_S = 1.0
+# A limit that differs by less than this share counts as unchanged.
+SAME_LIMIT_SHARE = 0.1
 
 
 class _Limit:
-    """One target's limit; ``since`` is when this VM first heard of it."""
+    """One target's limit; ``first_seen_at`` is when this VM first learned of it."""
 
     def __init__(self, per_s: float, share: LimitShare, now: float):
         self.per_s = per_s
-        self.told_per_s = per_s
+        self.announced_per_s = per_s
         self.share = share
-        self.since = now
+        self.first_seen_at = now
         self.confirmed_at = now
-        self.told_at = now
+        self.announced_at = now
 
     @property
-    def kept_until(self) -> float:
-        """Until when the limit counts, unless it is confirmed before."""
-        kept_s = MOST_KEPT_S
+    def valid_until(self) -> float:
+        """When the limit expires, unless it is confirmed before."""
+        ttl_s = MAX_LIMIT_TTL_S
         if self.per_s:
-            kept_s = min(kept_s, max(KEPT_S, KEPT_REQUESTS / self.per_s))
-        return self.confirmed_at + kept_s
+            ttl_s = min(ttl_s, max(MIN_LIMIT_TTL_S, TTL_REQUESTS / self.per_s))
+        return self.confirmed_at + ttl_s
 
 
 class TargetLimits:
     """The limits in force, and what this VM may send within them.
 
-    ``vms`` returns how many VMs share a limit, ``incarnation`` the known start of a
-    target::
+    ``vms`` returns how many VMs share a limit, ``incarnation`` the known incarnation of
+    a target::
 
         limits.record_answer(entry.incarnation, 3.3, sent_at=timers.now())
         if limits.acquire("i-7f3a"):
@@ -73,7 +73,7 @@
         self._vms = vms
         self._incarnation = incarnation
         self._limits: dict[str, _Limit] = {}
-        mesh.on(TargetLimit, self._take_told)
+        mesh.on(TargetLimit, self._on_target_limit)
 
     @property
     def named(self) -> dict[str, float]:
@@ -85,7 +85,7 @@
             if self.is_limited(target)
         }
 
-    # What may be sent
+    # Requests within the limits
 
     def is_limited(self, target: str) -> bool:
         """Whether a target names a limit now."""
@@ -97,64 +97,64 @@
         return limit.share.wait_s(self._timers.now()) if limit is not None else 0.0
 
     def acquire(self, target: str) -> bool:
-        """Count a request that is to be sent; False if the limit doesn't allow it."""
+        """Count a request before it is sent; False if the limit doesn't allow it."""
         limit = self._current(target)
         return limit is None or limit.share.acquire(self._timers.now())
 
     def refund(self, target: str) -> None:
-        """Count a request no more that was not sent."""
+        """Uncount a request that was not sent."""
         limit = self._current(target)
         if limit is not None:
             limit.share.refund()
 
-    # What targets name
+    # Limits that targets name
 
     def record_answer(
         self, incarnation: Incarnation, per_s: float | None, sent_at: float
     ) -> None:
-        """Take the limit that a target names in an answer, None for no limit.
+        """Apply the limit that a target names in an answer, None for no limit.
 
-        ``sent_at`` is when its request was sent. An answer may have been under way
-        when the limit was named, and doesn't end it then.
+        ``sent_at`` is when its request was sent. An answer without a limit that was
+        already under way when the limit was first named doesn't end it.
         """
         target = incarnation.target
         limit = self._current(target)
         if per_s is None:
-            if limit is not None and sent_at >= limit.since:
-                self._end(target)
-                self._tell(incarnation, None)
+            if limit is not None and sent_at >= limit.first_seen_at:
+                self._remove(target)
+                self._announce(incarnation, None)
             return
-        news = limit is None or _differs(limit.told_per_s, per_s)
-        limit = self._name(target, per_s)
+        changed = limit is None or _differs(limit.announced_per_s, per_s)
+        limit = self._apply(target, per_s)
         now = self._timers.now()
-        if news or now - limit.told_at >= RETELL_S:
-            limit.told_at = now
-            limit.told_per_s = per_s
-            self._tell(incarnation, per_s)
+        if changed or now - limit.announced_at >= ANNOUNCE_INTERVAL_S:
+            limit.announced_at = now
+            limit.announced_per_s = per_s
+            self._announce(incarnation, per_s)
 
     def discard(self, target: str) -> None:
-        """Drop the limit of a target whose start is over."""
+        """Discard the limit of a target whose incarnation is over."""
         self._limits.pop(target, None)
 
-    async def _take_told(self, sender, message: TargetLimit) -> None:
-        """Take a limit of which another VM was told."""
+    async def _on_target_limit(self, sender, message: TargetLimit) -> None:
+        """Apply a limit that another VM announced."""
         target = message.target
-        told = Incarnation(target, message.started_ms)
-        if not told.matches(self._incarnation(target)):
+        reported = Incarnation(target, message.started_ms)
+        if not reported.matches(self._incarnation(target)):
             return
         if message.per_s is None:
             if self._current(target) is not None:
-                self._end(target)
+                self._remove(target)
             return
-        limit = self._name(target, message.per_s)
-        limit.told_at = self._timers.now()
-        limit.told_per_s = message.per_s
+        limit = self._apply(target, message.per_s)
+        limit.announced_at = self._timers.now()
+        limit.announced_per_s = message.per_s
 
-    def _tell(self, incarnation: Incarnation, per_s: float | None) -> None:
+    def _announce(self, incarnation: Incarnation, per_s: float | None) -> None:
         message = TargetLimit(incarnation.target, per_s, incarnation.started_ms)
         self._mesh.broadcast(message)
 
-    def _name(self, target: str, per_s: float) -> _Limit:
+    def _apply(self, target: str, per_s: float) -> _Limit:
         """Put a limit in force, or confirm it."""
         now = self._timers.now()
         rate = per_s / max(1, self._vms())
@@ -170,18 +170,18 @@
         limit.share.set_rate(rate, now)
         return limit
 
-    def _end(self, target: str) -> None:
+    def _remove(self, target: str) -> None:
         del self._limits[target]
         self._events.emit(EventKind.TARGET_LIMIT_ENDED, target)
 
     def _current(self, target: str) -> _Limit | None:
-        """Return a target's limit, dropped if it wasn't confirmed for long."""
+        """Return a target's limit, None if it has none or it expired."""
         limit = self._limits.get(target)
-        if limit is not None and self._timers.now() > limit.kept_until:
-            self._end(target)
+        if limit is not None and self._timers.now() > limit.valid_until:
+            self._remove(target)
             return None
         return limit
 
 
 def _differs(before: float, per_s: float) -> bool:
-    return abs(per_s - before) > SAME_SHARE * before
+    return abs(per_s - before) > SAME_LIMIT_SHARE * before
--- a/hawthornlead/gateway/target_searches.py
+++ b/hawthornlead/gateway/target_searches.py
@@ -1,10 +1,10 @@
-"""What one request learns of targets while it looks for one that takes it.
+"""The search of one request for a target that accepts it.
 
 ::
 
-    tries = TargetSearch(excluded=frozenset(), score=score, timers=timers)
-    best = tries.best(slack_s=0.4)
-    tries.record_failure(best.candidate.target, failure)
+    search = TargetSearch(excluded=frozenset(), score=score, timers=timers)
+    best = search.best(slack_s=0.4)
+    search.record_failure(best.candidate.target, failure)
 """
 
 import math
@@ -14,27 +14,27 @@
 from ..timers import TimerService
 from .target_choices import Scored, with_slot_wait
 
-# How many targets are asked, one after the other, to load an adapter or for a turn.
+# Targets that are asked, one after the other, to load an adapter or for a turn.
 MAX_LOAD_TRIES = 3
-# An owner without a slot to spare says so within milliseconds, so that many are asked:
-# where engines have few slots, most are in use while one somewhere is free. Beyond
-# these the request waits at the one of them that expects the next free slot.
+# An owner without a free slot says so within milliseconds, so many can be asked: where
+# engines have few slots, most are in use while one somewhere is free. Beyond these the
+# request waits at the one of them that expects the next free slot.
 MAX_FULL_TRIES = 12
-# Who comes back as soon as one slot is to be free meets the same full engines; within
-# half a second, which is a run and more, others have ended.
+# A caller that retries as soon as one slot is expected to be free meets the same full
+# engines. Half a second is longer than a run, so other runs have ended by then.
 MIN_FULL_RETRY_S = 0.5
-# So a VM answers at once that doesn't order an engine, or not any more. Where few VMs
-# order all engines, such answers would use up a request's tries.
+# Immediate failures of a VM that doesn't own an engine. Where few VMs own all engines,
+# such answers would use up a request's tries.
 OWNERLESS = frozenset({ErrorKind.NO_GRANT, ErrorKind.PEER_UNAVAILABLE})
-# After a full engine's answer nothing else is taken to have changed for so long: what
-# this VM knows of the others is older than that anyway.
-SCORED_KEPT_S = 0.02
+# After a full engine's answer the scores of the others are reused for this long: what
+# this VM knows of them is older than that anyway.
+SCORES_MAX_AGE_S = 0.02
 
 
 class TargetSearch:
-    """The targets that one request was offered to, and what came of it.
+    """The targets that one request was offered to, and why they refused it.
 
-    ``score`` returns the usable targets but the ``excluded`` ones, the best first.
+    ``score`` returns the usable targets except the ``excluded`` ones, the best first.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         self.count = 1
 
     @property
-    def left(self) -> bool:
+    def may_continue(self) -> bool:
         """Whether another target may be tried."""
         return self.count <= MAX_LOAD_TRIES
 
@@ -61,23 +61,23 @@
     def candidates(self) -> list[Scored]:
         """The targets that can be tried, the best first."""
         now = self._timers.now()
-        if now - self._scored_at > SCORED_KEPT_S:
+        if now - self._scored_at > SCORES_MAX_AGE_S:
             self._scored, self._scored_at = self._score(self._excluded), now
         return self._scored
 
     @property
     def full_retry_s(self) -> float:
-        """When to come back where all targets are full."""
+        """When to retry if all targets are full."""
         return max(MIN_FULL_RETRY_S, min(self._full.values()))
 
     def is_full(self, target: str) -> bool:
-        """Whether a target said that it has no slot to spare."""
+        """Whether a target's owner said that it has no free slot."""
         return target in self._full
 
     def best(self, slack_s: float) -> Scored | None:
-        """Return the best target but those whose next free slot comes too late.
+        """Return the best target whose next free slot isn't too late, None if none is.
 
-        Once many were full, no further one is asked.
+        Once ``MAX_FULL_TRIES`` targets were full, no further one is tried.
         """
         for each in self.candidates:
             target = each.candidate.target
@@ -88,7 +88,7 @@
         return None
 
     def record_failure(self, target: str, failure: Failure) -> None:
-        """Note why a target didn't take the request."""
+        """Record why a target didn't accept the request."""
         if failure.kind is ErrorKind.NO_SLOT and target not in self._full:
             self._full[target] = failure.retry_after_s
             wait_ms = 1000 * failure.retry_after_s
--- a/hawthornlead/tests/test_former_starts.py
+++ b/hawthornlead/tests/test_former_starts.py
@@ -142,10 +142,10 @@
         await all_know(deployment, engine)
         attempts = Attempts(gateway._parts, None, None, None, None, 0.0, b"")
         for _ in range(4):
-            attempts._blame(former)
+            attempts._count_failure(former)
             attempts._note_refused(former, 421, placed_at(former))
         healths = gateway._parts.healths
         assert not healths.is_suspect(engine.target)
         assert healths.cost_ms(engine.target) == 0.0
-        attempts._blame(gateway._targets.entries[engine.target])
+        attempts._count_failure(gateway._targets.entries[engine.target])
         assert healths.cost_ms(engine.target) > 0.0
--- a/hawthornlead/tests/test_limit_words.py
+++ b/hawthornlead/tests/test_limit_words.py
@@ -7,7 +7,11 @@
 from hawthornlead.clocks import HybridClock
 from hawthornlead.events import EventRing
 from hawthornlead.gateway.records import Incarnation
-from hawthornlead.gateway.target_limits import KEPT_S, RETELL_S, TargetLimits
+from hawthornlead.gateway.target_limits import (
+    ANNOUNCE_INTERVAL_S,
+    MIN_LIMIT_TTL_S,
+    TargetLimits,
+)
 from hawthornlead.messages.gateways import TargetLimit
 from hawthornlead.timers import ManualTimerService
 
@@ -60,7 +64,7 @@
     vm.answer(3.3)
     vm.answer(3.3)
     assert vm.mesh.sent == [TargetLimit("e1", 3.3, 1000)]
-    await vm.timers.advance(RETELL_S)
+    await vm.timers.advance(ANNOUNCE_INTERVAL_S)
     vm.answer(3.3)
     assert len(vm.mesh.sent) == 2
     vm.answer(2.2)
@@ -91,7 +95,7 @@
 
 async def test_a_limit_that_nobody_confirms_is_dropped(vm):
     vm.answer(3.3)
-    await vm.timers.advance(KEPT_S - 0.1)
+    await vm.timers.advance(MIN_LIMIT_TTL_S - 0.1)
     assert vm.limits.is_limited("e1")
     await vm.timers.advance(0.2)
     assert not vm.limits.is_limited("e1")
--- a/hawthornlead/tests/test_target_choices.py
+++ b/hawthornlead/tests/test_target_choices.py
@@ -2,7 +2,7 @@
 
 from hawthornlead.gateway.adapter_homes import MAX_CACHED_ADAPTERS, AdapterHomes
 from hawthornlead.gateway.target_choices import (
-    MOST_HOMES,
+    MAX_COMPARED_HOMES,
     Candidate,
     Demand,
     Holding,
@@ -20,7 +20,7 @@
         "orderable": True,
         "suspect": False,
         "slow_ms": 0.0,
-        "near": True,
+        "is_local": True,
     }
     return Candidate(target=target, running=running, holding=holding, **known | fields)
 
@@ -99,9 +99,9 @@
     holdings[homes[-1]] = Holding.READY
     holdings[homes[-2]] = Holding.RECENT
     listed = shortlist(holdings, homes, frozenset())
-    assert listed == {homes[-1], homes[-2], *homes[:MOST_HOMES]}
+    assert listed == {homes[-1], homes[-2], *homes[:MAX_COMPARED_HOMES]}
     without = shortlist(holdings, homes, frozenset({homes[-1], homes[0]}))
-    assert without == {homes[-2], *homes[1 : MOST_HOMES + 1]}
+    assert without == {homes[-2], *homes[1 : MAX_COMPARED_HOMES + 1]}
 
 
 def test_homes_follow_the_targets_and_few_are_kept():
@@ -122,7 +122,7 @@
     ran, and each of them paused for it; elsewhere hardly any did.
     """
     busy = candidate("busy", running=10)
-    quiet = candidate("quiet", running=2, near=False, prompts_ms=60.0)
+    quiet = candidate("quiet", running=2, is_local=False, prompts_ms=60.0)
     short = order_candidates([busy, quiet], Demand((), False, reading=0.1))
     long = order_candidates([busy, quiet], Demand((), False, reading=0.9))
     assert short[0].candidate.target == "busy"
--- a/hawthornlead/tests/test_target_searches.py
+++ b/hawthornlead/tests/test_target_searches.py
@@ -51,7 +51,7 @@
     tries.record_failure("c", FULL)
     assert tries.best(0.1) is None
     assert tries.full_retry_s == 0.5
-    assert tries.left
+    assert tries.may_continue
     assert estimates.asked == 1
 
 
@@ -80,7 +80,7 @@
         assert tried(tries, 0.1) == target
         tries.record_failure(target, NO_LOAD)
     assert tries.count == MAX_LOAD_TRIES + 1
-    assert not tries.left
+    assert not tries.may_continue
 
 
 def test_a_vm_that_orders_the_engine_no_more_costs_no_try():
