--- a/hawthornlead/gateway/request_reporters.py
+++ b/hawthornlead/gateway/request_reporters.py
@@ -62,17 +62,17 @@
         self._emit(EventKind.CALLER_GONE, target=target, after_ms=after_ms)
 
     def attempt_failed(
-        self, target: str, outcome: str, remaining_s: float, loss: Loss | None
+        self, target: str, attempt_outcome: str, remaining_s: float, loss: Loss | None
     ) -> None:
         """Report how an attempt failed, and the proof if its target is lost.
 
         ``remaining_s`` is the time left before the deadline.
         """
-        self._parts.metrics.attempts.labels(outcome).inc()
+        self._parts.metrics.attempts.labels(attempt_outcome).inc()
         self._emit(
             EventKind.ATTEMPT_FAILED,
             target=target,
-            ending=outcome,
+            ending=attempt_outcome,
             proof=loss.value if loss is not None else None,
             sent=self.sent,
             ran=self.ran,
--- a/hawthornlead/gateway/target_healths.py
+++ b/hawthornlead/gateway/target_healths.py
@@ -25,19 +25,13 @@
 
 
 class _Health:
-    __slots__ = (
-        "failing",
-        "failures_in_row",
-        "suspect_until",
-        "updated_at",
-        "wait_ms",
-    )
+    __slots__ = ("at", "failing", "in_a_row", "suspect_until", "wait_ms")
 
     def __init__(self):
-        self.updated_at = 0.0
+        self.at = 0.0
         self.failing = 0.0
         self.wait_ms = 0.0
-        self.failures_in_row = 0
+        self.in_a_row = 0
         self.suspect_until = 0.0
 
 
@@ -58,7 +52,7 @@
     def record_answer(self, target: str, wait_ms: float) -> None:
         """Record an answer that started after ``wait_ms``."""
         health = self._decayed(target)
-        health.failures_in_row = 0
+        health.in_a_row = 0
         health.suspect_until = 0.0
         health.failing *= 1 - ANSWER_WEIGHT
         health.wait_ms += ANSWER_WEIGHT * (wait_ms - health.wait_ms)
@@ -67,11 +61,9 @@
         """Record a request that the target failed; ``gone`` if it can't be reached."""
         health = self._decayed(target)
         health.failing += ANSWER_WEIGHT * (1 - health.failing)
-        health.failures_in_row += 1
-        if gone or health.failures_in_row >= 3:
-            wait_s = min(
-                MAX_SUSPECT_S, SUSPECT_S * 2 ** min(4, health.failures_in_row - 1)
-            )
+        health.in_a_row += 1
+        if gone or health.in_a_row >= 3:
+            wait_s = min(MAX_SUSPECT_S, SUSPECT_S * 2 ** min(4, health.in_a_row - 1))
             health.suspect_until = self._timers.now() + wait_s
 
     def is_suspect(self, target: str) -> bool:
@@ -102,10 +94,10 @@
         health = self._healths.get(target)
         if health is None:
             health = self._healths[target] = _Health()
-            health.updated_at = now
+            health.at = now
             return health
-        decay = 0.5 ** ((now - health.updated_at) / FAILURE_HALF_LIFE_S)
+        decay = 0.5 ** ((now - health.at) / FAILURE_HALF_LIFE_S)
         health.failing *= decay
         health.wait_ms *= decay
-        health.updated_at = now
+        health.at = now
         return health
--- a/hawthornlead/tests/test_former_starts.py
+++ b/hawthornlead/tests/test_former_starts.py
@@ -143,7 +143,7 @@
         attempts = Attempts(gateway._parts, None, None, None, None, 0.0, b"")
         for _ in range(4):
             attempts._count_failure(former)
-            attempts._note_refused(former, 421, placed_at(former))
+            attempts._on_refused(former, 421, placed_at(former))
         healths = gateway._parts.healths
         assert not healths.is_suspect(engine.target)
         assert healths.cost_ms(engine.target) == 0.0
