--- a/hawthornlead/gateway/placers.py
+++ b/hawthornlead/gateway/placers.py
@@ -149,7 +149,7 @@
             ),
             timers=self._timers,
         )
-        while search.left:
+        while search.may_continue:
             slack_s = self._slot_due_at(requested) - self._timers.now()
             if not search.candidates:
                 return Err(self._backoff_refusal(spec) or failure)
