--- a/hawthornlead/gateway/adapter_homes.py
+++ b/hawthornlead/gateway/adapter_homes.py
@@ -1,4 +1,6 @@
-"""The homes of adapters: the order in which all VMs agree that targets hold each.
+"""Home targets of adapters: the rendezvous order of the targets for each adapter.
+
+All VMs compute the same order::
 
 ::
 
@@ -8,19 +10,19 @@
 
 from ..hashes import rendezvous
 
-# Adapters whose homes are kept. A few adapters get most requests.
+# The maximum number of adapters in the cache. A few adapters get most requests.
 MAX_CACHED_ADAPTERS = 256
 
 
 class AdapterHomes:
-    """The homes of the adapters that were asked for lately, for one set of targets."""
+    """Cache of the home targets of recently requested adapters, for one target set."""
 
     def __init__(self):
         self._targets: tuple[str, ...] = ()
         self._homes: dict[str, tuple[str, ...]] = {}
 
     def of(self, adapter: str, targets: tuple[str, ...]) -> tuple[str, ...]:
-        """Return the targets in the order in which they should hold an adapter."""
+        """Return the targets in the order of preference to hold an adapter."""
         if targets != self._targets:
             self._targets = targets
             self._homes.clear()
--- a/hawthornlead/gateway/adapter_requests.py
+++ b/hawthornlead/gateway/adapter_requests.py
@@ -1,9 +1,9 @@
-"""The requests that wait for an adapter of one engine.
+"""Requests that wait for an adapter of one engine.
 
-Each waits for a slot, for the order that loads its adapter, and for the adapter. Those
-for one adapter share all three::
+Each request waits for a slot, for the order that loads its adapter, and for the adapter
+to be ready. Requests for the same adapter share all three::
 
-    loaded = await requests.load(wanted, version=2, wait_s=1.0)
+    loaded = await requests.load(request, version=2, wait_s=1.0)
 """
 
 import asyncio
@@ -21,12 +21,12 @@
 from .slot_queues import SlotRequest
 from .slot_waits import SlotWaits
 
-# A fetch takes 0.25 to 0.3 s, so that with four at once one ends every 65 ms or so.
+# A fetch takes 0.25 to 0.3 s. With four at once, one ends about every 65 ms.
 FETCH_INTERVAL_S = 0.065
 
 
 class AdapterRequests:
-    """What callers' requests want of one engine; ``order`` orders one load."""
+    """Loads adapters of one engine for requests; ``order`` orders one load."""
 
     def __init__(
         self,
@@ -54,69 +54,69 @@
         return key in self._waiting
 
     def on_changed(self) -> None:
-        """Look again at what the engine holds."""
+        """Let waiting requests check again what the engine holds."""
         self._changed.fire()
 
     def stop(self) -> None:
-        """Tell all who wait at once that the engine isn't ordered here any more."""
+        """Fail all waiting requests: the engine isn't ordered here any more."""
         self._stopped = True
         self._changed.fire()
         self._slot_waits.stop()
 
     async def load(
-        self, wanted: SlotRequest, version: int, wait_s: float
+        self, request: SlotRequest, version: int, wait_s: float
     ) -> Result[int, Failure]:
         """Make an adapter ready and return its version.
 
-        Waits for a slot until ``wanted.until``, and for the adapter ``wait_s``. Fails
+        Waits for a slot until ``request.until``, and for the adapter ``wait_s``. Fails
         with ``NO_SLOT`` if no slot comes free in time, ``NO_GRANT`` if this VM may not
         order the engine, ``LOAD_FAILED`` if the adapter isn't ready in time.
         """
-        key = wanted.key
+        key = request.key
         self._slots.record_use(key, 1, self._timers.now())
-        give_up_at = self._timers.now() + wait_s
+        deadline_at = self._timers.now() + wait_s
         self._waiting[key] = self._waiting.get(key, 0) + 1
         try:
-            return await self._load_until(wanted, version, give_up_at)
+            return await self._load_until(request, version, deadline_at)
         finally:
             self._waiting[key] -= 1
             if not self._waiting[key]:
                 del self._waiting[key]
 
     async def _load_until(
-        self, wanted: SlotRequest, version: int, give_up_at: float
+        self, request: SlotRequest, version: int, deadline_at: float
     ) -> Result[int, Failure]:
-        key = wanted.key
+        key = request.key
         while not self._slots.ready(key, version):
             if self._stopped:
                 return Err(Failure(ErrorKind.NO_GRANT, "not ordered here now", 0.1))
-            left_s = give_up_at - self._timers.now()
+            left_s = deadline_at - self._timers.now()
             if left_s <= 0:
                 return Err(Failure(ErrorKind.LOAD_FAILED, f"{key} is not ready", 0.3))
             if self._checks.is_arriving(key, version):
                 await self._changed.wait(self._timers, left_s)
                 continue
             if self._slots.arriving >= MAX_ARRIVING:
-                turn_s = FETCH_INTERVAL_S * self._fetches_ahead(key)
-                if turn_s > left_s - FIRST_POLL_S:
+                expected_s = FETCH_INTERVAL_S * self._fetches_ahead(key)
+                if expected_s > left_s - FIRST_POLL_S:
                     detail = "too many loads at once"
-                    return Err(Failure(ErrorKind.NO_SLOT, detail, turn_s))
+                    return Err(Failure(ErrorKind.NO_SLOT, detail, expected_s))
                 await self._changed.wait(self._timers, left_s)
                 continue
-            ordered = await self._wait_and_order(wanted, version, left_s)
+            ordered = await self._wait_and_order(request, version, left_s)
             if ordered.is_err():
                 return ordered
         slot = self._slots.slots.get(key)
         return Ok(slot.version if slot else version)
 
     async def _wait_and_order(
-        self, wanted: SlotRequest, version: int, left_s: float
+        self, request: SlotRequest, version: int, left_s: float
     ) -> Result[None, Failure]:
-        """Have a load ordered once there is a slot for it."""
-        waited = await self._slot_waits.wait(wanted)
+        """Wait for a slot and have the load ordered."""
+        waited = await self._slot_waits.wait(request)
         if waited.is_err():
             return waited
-        ordering = self._join_ordering(wanted.key, version)
+        ordering = self._join_ordering(request.key, version)
         await asyncio.wait([ordering], timeout=left_s)
         if ordering.cancelled() or not ordering.done():
             return Ok(None)
@@ -124,17 +124,17 @@
         if ordered.is_ok():
             return ordered
         failure = ordered.err_value
-        slot_left_s = wanted.until - self._timers.now()
+        slot_left_s = request.until - self._timers.now()
         if failure.kind is not ErrorKind.NO_SLOT or failure.retry_after_s > slot_left_s:
             return ordered
-        # Another took the slot meanwhile; this one waits for the next. Asked again
-        # without a pause, an engine that refuses for another reason would be asked
-        # without end, and its owner would do nothing else.
+        # Another request took the slot meanwhile, so this one waits for the next.
+        # Without the pause an owner that refuses for another reason would be asked in a
+        # busy loop and do nothing else.
         await self._slot_waits.pause()
         return Ok(None)
 
     def _fetches_ahead(self, key: AdapterKey) -> int:
-        """Count the fetches that are under way or were asked for before this one."""
+        """Count the fetches that are in progress or were requested before this one."""
         ahead = 0
         for other in self._waiting:
             if other == key:
@@ -143,9 +143,10 @@
         return max(ahead, self._slots.arriving)
 
     def _join_ordering(self, key: AdapterKey, version: int) -> asyncio.Task:
-        """Return the task that orders this load, one for all who ask for it.
+        """Return the task that orders this load, shared by all requests for it.
 
-        It goes on when they stop waiting: an order that was sent must be heard out.
+        It continues after they stop waiting, because the outcome of a sent order must
+        be processed.
         """
         name = (key, version)
         task = self._ordering.get(name)
--- a/hawthornlead/gateway/gateways.py
+++ b/hawthornlead/gateway/gateways.py
@@ -90,7 +90,7 @@
         self._drain = Drain(
             timers=core.timers,
             grace_s=settings["GRACE_S"],
-            keep_answer_s=KEEP_ANSWER_S,
+            readiness_ttl_s=KEEP_ANSWER_S,
             open_requests=lambda: self._callers.open,
         )
         self._fleet_view = FleetView(
--- a/hawthornlead/tests/test_gateway_decisions.py
+++ b/hawthornlead/tests/test_gateway_decisions.py
@@ -281,7 +281,7 @@
     drain = Drain(
         timers=timers,
         grace_s=8.0,
-        keep_answer_s=1.0,
+        readiness_ttl_s=1.0,
         open_requests=lambda: open_requests[0],
     )
     assert drain.refusal() is None
@@ -298,7 +298,7 @@
     the grace was over. Requests that surely end before that are served all the same.
     """
     drain = Drain(
-        timers=timers, grace_s=8.0, keep_answer_s=1.0, open_requests=lambda: 1
+        timers=timers, grace_s=8.0, readiness_ttl_s=1.0, open_requests=lambda: 1
     )
     drain.start()
     await timers.advance(2.0)
