--- a/hawthornlead/gateway/gateways.py
+++ b/hawthornlead/gateway/gateways.py
@@ -90,7 +90,7 @@
         self._drain = Drain(
             timers=core.timers,
             grace_s=settings["GRACE_S"],
-            keep_answer_s=KEEP_ANSWER_S,
+            readiness_ttl_s=KEEP_ANSWER_S,
             open_requests=lambda: self._callers.open,
         )
         self._fleet_view = FleetView(
@@ -297,8 +297,8 @@
             VMS_KIND: KindWatcher(
                 VMS_KIND,
                 **common,
-                on_changed=memberships.take,
-                on_deleted=memberships.drop,
+                on_changed=memberships.apply_record,
+                on_deleted=memberships.remove,
                 on_unreadable=memberships.on_unreadable_record,
                 pause_s=VMS_PAUSE_S,
             ),
