--- a/hawthornlead/tests/fakes_vms.py
+++ b/hawthornlead/tests/fakes_vms.py
@@ -1,8 +1,7 @@
-"""Several VMs' leases and owners in one process, each with a clock of its own.
+"""Several VMs' leases and owners in one process, each with its own clock.
 
-The world's time moves by ``World.run``; a VM's clock moves with it at the VM's
-rate, also while the VM is frozen. Nothing reaches a frozen VM, nor a reply one
-that was frozen while it waited, until it is thawed.
+``World.run`` advances the time; each VM's clock advances at the VM's rate, also while
+the VM is frozen. Messages and replies reach a frozen VM only after it is thawed.
 """
 
 import asyncio
@@ -26,7 +25,7 @@
 
 
 class GatedStore(MemoryStore):
-    """A store whose calls and watch lines wait while their VM is frozen."""
+    """A store whose calls and watch events wait while their VM is frozen."""
 
     def __init__(self, *args, gate: asyncio.Event, **kwargs):
         super().__init__(*args, **kwargs)
@@ -42,7 +41,7 @@
         return written
 
     async def open_watch(self, kind, since):
-        """Hold lines back while frozen."""
+        """Delay the watch's lines while the VM is frozen."""
         async for line in super().open_watch(kind, since):
             await self._gate.wait()
             yield line
@@ -62,7 +61,7 @@
         self._handlers[message_type] = handler
 
     async def call(self, vm, message, timeout_s=None):
-        """Call a VM; one that is dead, frozen or cut does not answer in time."""
+        """Call a VM; the call times out if that VM is dead, frozen or cut off."""
         self.calls += 1
         task = asyncio.ensure_future(self._world.deliver(self._vm, vm, message))
         timeout = self._vm.timers.after(timeout_s or 2.0, task.cancel, "call")
@@ -82,7 +81,7 @@
 
 
 class FakeMembers:
-    """What one VM believes of the others."""
+    """One VM's view of the other VMs."""
 
     def __init__(self, world, vm):
         self._world = world
@@ -90,7 +89,7 @@
         self.draining = False
 
     def live_vms(self):
-        """All VMs that answer, and this one."""
+        """Return the VMs that answer, and this one."""
         return tuple(
             vm.name
             for vm in self._world.vms.values()
@@ -98,7 +97,7 @@
         )
 
     def in_data_centre(self, data_centre):
-        """Those that stand in a data centre."""
+        """Return the live VMs of a data centre."""
         return tuple(
             name
             for name in self.live_vms()
@@ -106,7 +105,7 @@
         )
 
     def proof_gone(self, vm, incarnation):
-        """Tell of killed VMs that their port refuses, if that can be seen."""
+        """Return "refused" for killed VMs, unless ``World.proofs`` is off."""
         if self._world.proofs and incarnation in self._world.killed:
             return "refused"
         return None
@@ -157,14 +156,14 @@
         self.owners.start()
 
     async def stop(self):
-        """End all tasks."""
+        """Stop all tasks."""
         await self.owners.stop()
         await self.leases.stop()
         await self.store.stop()
 
 
 class World:
-    """VMs, the store they share, and the time."""
+    """VMs, the store that they share, and the time."""
 
     def __init__(self, **settings):
         self.objects = MemoryObjects()
@@ -186,14 +185,14 @@
         return vm
 
     def request(self, *resources):
-        """Have all VMs want resources in data centre dc1."""
+        """Have all VMs request resources of data centre dc1."""
         self.resources += resources
         for vm in self.vms.values():
             for resource in resources:
                 vm.owners.request(resource, "dc1")
 
     async def deliver(self, sender, name, message):
-        """Carry a call to a VM and wait for its answer."""
+        """Deliver a call to a VM and return its answer."""
         vm = self.vms.get(name)
         if vm is None or not vm.alive or frozenset((sender.name, name)) in self.cuts:
             await asyncio.Event().wait()
@@ -209,20 +208,20 @@
         await vm.stop()
 
     def freeze(self, vm):
-        """Stop a VM from running; its clock goes on."""
+        """Freeze a VM; its clock continues."""
         vm.frozen = True
         vm.gate.clear()
 
     def thaw(self, vm):
-        """Let a frozen VM run on."""
+        """Let a frozen VM continue."""
         vm.frozen = False
         vm.gate.set()
 
     async def run(self, seconds):
-        """Move the time on, checking in every step that nothing has two owners."""
+        """Advance the time, and check in each step that no resource has two owners."""
         for _ in range(round(seconds / STEP_S)):
-            # All clocks move before anything runs: a VM that ran ahead of the
-            # others' clocks would break what the leases may count on.
+            # All clocks advance before anything runs. If one VM ran ahead of the other
+            # clocks, their rates would differ more than leases allow for.
             for vm in self.vms.values():
                 vm.timers._now += STEP_S * vm.rate
             for vm in self.vms.values():
@@ -233,12 +232,12 @@
             self.check()
 
     def check(self):
-        """No resource has two VMs with the full right, frozen ones included."""
+        """Check that no resource has two VMs with the full right, frozen or not."""
         for resource in self.resources:
             assert len(self.owners_of(resource)) <= 1, resource
 
     def owners_of(self, resource) -> list[FakeVm]:
-        """All VMs that have the full right now."""
+        """Return all VMs that have the full right now."""
         return [
             vm
             for vm in self.vms.values()
@@ -246,12 +245,12 @@
         ]
 
     def owner_of(self, resource) -> FakeVm:
-        """The one VM that has the full right."""
+        """Return the only VM that has the full right."""
         (owner,) = self.owners_of(resource)
         return owner
 
     async def stop(self):
-        """End all VMs."""
+        """Stop all VMs."""
         for vm in self.vms.values():
             if vm.alive:
                 await vm.stop()
--- a/hawthornlead/tests/test_early_signals.py
+++ b/hawthornlead/tests/test_early_signals.py
@@ -1,13 +1,13 @@
-"""Tests of signals that come while the program is loaded."""
+"""Tests of signals that arrive while the program is loaded."""
 
 import subprocess
 import sys
 
 import pytest
 
-# Runs the program's own entry, which is asked to read its settings again as soon as it
-# begins to load its command line. The signal's default is set first: whoever starts the
-# tests may have had it ignored, which a process inherits.
+# Runs the program's entry point, and sends the signal to reload the settings as soon as
+# the command line is being loaded. The signal's default handler is set first, because a
+# process inherits an ignored signal from the one that starts the tests.
 PROGRAM = """
 import builtins, os, runpy, signal, sys
 signal.signal(signal.SIGHUP, signal.SIG_DFL)
@@ -23,11 +23,11 @@
 
 
 @pytest.mark.parametrize(("command", "lives"), [("gateway", True), ("entry", False)])
-def test_a_gateway_lives_through_a_reload_that_comes_as_it_starts(command, lives):
-    """A VM's process ends by itself, and its callers are cut off.
+def test_a_gateway_survives_a_reload_signal_during_its_start(command, lives):
+    """A reload signal during the start must not end a gateway.
 
-    Its settings file changed while it started. The signal to read it again came before
-    the process heeded it, and a process that doesn't heed it ends.
+    The settings file changes while the process starts, so the signal arrives before its
+    handler is installed. By default it ends the process and cuts off its callers.
     """
     arguments = [sys.executable, "-c", PROGRAM, command, "--help"]
     done = subprocess.run(arguments, capture_output=True, text=True, check=False)
--- a/hawthornlead/tests/test_logs.py
+++ b/hawthornlead/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Tests of the log set-up."""
+"""Tests of the configuration of logs."""
 
 import io
 import json
@@ -24,13 +24,13 @@
 
 @pytest.fixture
 def timers():
-    """Time moved by hand."""
+    """A timer service with a manual clock."""
     return ManualTimerService()
 
 
 @pytest.fixture
 def stream():
-    """Where lines are written; log set-up is undone afterwards."""
+    """The stream that lines are written to; the configuration is undone afterwards."""
     yield io.StringIO()
     logger.remove()
     logging.basicConfig(handlers=[logging.NullHandler()], force=True)
@@ -83,9 +83,9 @@
 
 
 async def test_repeated_lines_are_limited_and_counted(timers, stream):
-    # An engine refuses every request for ten seconds. Without a limit the operator
-    # sees thousands of equal lines and nothing else, and the process spends its time
-    # on them. The cause is one line per failed request.
+    # An engine refuses every request for ten seconds, and each failed request logs a
+    # line. Without a limit thousands of equal lines hide all others and take up the
+    # processor.
     configure_logs(default_settings(), timers, stream)
     ring = EventRing("vm-1", HybridClock(timers))
     for _ in range(100):
@@ -117,9 +117,9 @@
     assert stream.getvalue().count("\n") == 5 + REPEAT_KEYS + 1
 
 
-def test_end_of_a_cancelled_request_is_no_error(timers, stream):
-    # Each watch that goes silent is cancelled and opened anew; tornado logged the
-    # closed connection with a traceback each time, as if something had failed.
+def test_the_end_of_a_cancelled_request_is_not_logged_as_an_error(timers, stream):
+    # A silent watch is cancelled and reopened. Tornado logs the closed connection with
+    # a traceback each time, as if something had failed.
     configure_logs(default_settings(), timers, stream)
     library = logging.getLogger("tornado.application")
     for error in (HTTPStreamClosedError("Connection closed"), ValueError("a fault")):
@@ -136,10 +136,10 @@
 
 
 def test_a_flood_of_successes_is_sampled_by_request(timers, stream):
-    """A burst of requests spends the processor on log lines.
+    """Log lines must not take up the processor in a burst of requests.
 
-    Lines of ordinary successes give way first, so that refusals are still written,
-    and the requests that keep their lines keep all of them.
+    Lines of ordinary successes are dropped first, so that refusals are still written.
+    A request that keeps its lines keeps all of them.
     """
     settings = default_settings(LOG_FORMAT="json", LOG_LINES_PER_S=100)
     configure_logs(settings, timers, stream)
@@ -168,10 +168,9 @@
 
 
 def test_a_reader_that_stops_reading_does_not_stop_the_process():
-    """All requests of a VM stand still.
+    """A log reader that stops reading must not block the process.
 
-    Whoever collects its log stopped reading; the pipe filled up and the next line
-    waited for room.
+    The pipe fills up, and a blocking write of the next line would stop all requests.
     """
     reading, writing = os.pipe()
     stream = UnblockedStream(writing)
@@ -183,7 +182,7 @@
 
 
 def read_all(descriptor: int) -> bytes:
-    """Return what a pipe holds now."""
+    """Return all bytes that a pipe has now."""
     os.set_blocking(descriptor, False)
     read = b""
     while True:
@@ -193,11 +192,11 @@
             return read
 
 
-def test_a_reader_that_reads_again_finds_whole_lines_and_what_was_dropped():
-    """After a pause of their reader the logs can't be read, and nobody knows why.
+def test_a_resumed_reader_gets_whole_lines_and_the_number_of_dropped_ones():
+    """Logs must be readable after a pause of their reader.
 
-    The pipe took a part of a line before it was full. The next line that it took stood
-    in the middle of that one, and no line said that others were missing.
+    A pipe that is almost full accepts a part of a line. The next line must not start in
+    the middle of that one, and a line must say how many are missing.
     """
     reading, writing = os.pipe()
     stream = UnblockedStream(writing)
@@ -214,10 +213,8 @@
     os.close(writing)
 
 
-def test_events_are_the_same_lines_with_and_without_a_record_of_the_library(
-    timers, stream
-):
-    """A field of an event is missing in the log that the on-call engineer reads."""
+def test_events_give_the_same_lines_with_and_without_loguru(timers, stream):
+    """Guards against an event field that only one of the two writers logs."""
     direct = io.StringIO()
     settings = default_settings(LOG_FORMAT="json", LOG_LINES_PER_S=100)
     ring = EventRing("vm-1", HybridClock(timers))
--- a/hawthornlead/tests/test_timers.py
+++ b/hawthornlead/tests/test_timers.py
@@ -17,8 +17,8 @@
 
 
 async def test_every_calls_again_after_a_failure(timers):
-    # A subscriber with a bug raises once. Were the error to end the timer, leases
-    # would stop being renewed a few seconds later, far from the cause.
+    # A subscriber with a bug raises once. If the error ended the timer, leases would no
+    # longer be renewed, a few seconds later and far from the cause.
     calls = []
     second = asyncio.Event()
 
@@ -50,8 +50,8 @@
 
 
 async def test_cancel_ends_the_waiting_task(timers):
-    # A process serves requests with a deadline of 300 s each, cancelled when done.
-    # If cancelled timers slept on, memory would grow with the requests of the last
+    # Each request has a deadline timer of 300 s, which is cancelled when it is done. If
+    # cancelled timers kept sleeping, memory would grow with the requests of the last
     # five minutes.
     before = len(asyncio.all_tasks())
     subscriptions = [
@@ -145,10 +145,10 @@
 
 
 def test_time_counts_a_suspension_of_the_machine(monkeypatch):
-    """Two VMs order one engine after a suspension.
+    """Two VMs must not both order an engine after a suspension.
 
-    The machine of the first was suspended for longer than its lease. The usual steady
-    clock stands still meanwhile, so that the lease still looked alive to it.
+    The machine of the first is suspended for longer than its lease. The usual monotonic
+    clock does not advance meanwhile, so the lease would still look valid to it.
     """
     read = []
 
