--- a/hawthornlead/callers/attempts.py
+++ b/hawthornlead/callers/attempts.py
@@ -1,9 +1,9 @@
 """One attempt of a request at one target.
 
-An attempt has an id of its own, so that a late or crossed answer to another attempt
-can never be taken for its own. It starts only under a grant, whose time is read
-right before the send. Each way of failing maps to what it proves of the run
-(docs/not-run.md).
+Each attempt has its own id, which its answer must name: a late or crossed answer to
+another attempt is never accepted. An attempt starts only under a grant, whose expiry
+is checked right before the send. Each failure kind states whether the request may
+have run (docs/not-run.md).
 """
 
 import asyncio
@@ -27,7 +27,7 @@
 from .sent_attempts import SentAttempts
 
 MAX_REFUSAL_BYTES = 65536
-CHECK_S = 0.25
+CHECK_INTERVAL_S = 0.25
 
 
 class Sink(Protocol):
@@ -38,11 +38,16 @@
         """Whether the caller has left."""
 
     def write(self, events: bytes) -> Awaitable[None] | None:
-        """Take whole token events; a future that is returned holds back the target."""
+        """Accept whole token events; a returned future delays reading from the target."""
 
 
 class AttemptCall(NamedTuple):
-    """What one attempt needs to know."""
+    """The parameters of one attempt.
+
+    ``offset`` is the index of the first token wanted, ``deadline_at`` is on the timer
+    service's clock. ``fresh`` asks for a new connection; ``at_most_once`` marks a
+    request that must not be sent twice.
+    """
 
     attempt_id: str
     target: str
@@ -55,13 +60,13 @@
     deadline_at: float
     fresh: bool
     request_id: str
-    once: bool
+    at_most_once: bool
 
 
 class AttemptEnd(NamedTuple):
-    """How an attempt ended: ``failure`` is None when its answer came whole.
+    """How an attempt ended: ``failure`` is None when its answer was complete.
 
-    ``next_index`` is where a resumed attempt has to begin.
+    ``next_index`` is the offset from which a resumed attempt must start.
     """
 
     failure: Failure | None
@@ -69,7 +74,7 @@
 
 
 class AttemptRunner:
-    """Runs attempts; one call of ``run`` is one attempt, written straight down."""
+    """Runs attempts; each call of ``run`` is one attempt."""
 
     def __init__(
         self,
@@ -89,50 +94,51 @@
         self._sent = sent
 
     async def run(self, call: AttemptCall, grant: Grant, sink: Sink) -> AttemptEnd:
-        """Run one attempt to its end, whatever that is."""
+        """Run one attempt until it succeeds or fails."""
         opened = await self._connections.open(call.address, fresh=call.fresh)
         if isinstance(opened, Err):
-            return self._ended(call, opened.err_value, call.offset)
+            return self._record_end(call, opened.err_value, call.offset)
         exchange = opened.ok_value
         # The process may have been frozen while it connected. Deadline and grant are
-        # held against the clock again, here, with nothing awaited between this and
-        # the send. Without it a request runs after its caller was answered, when a
-        # later try may hold its key (CLM-9), or after its grant ran out (GRA-2).
-        # Claims are kept for twice the longest deadline.
+        # checked again here, with nothing awaited between the check and the send.
+        # Otherwise a request could run after its caller was answered, when a later
+        # try may hold its key (CLM-9), or after its grant expired (GRA-2). Claims are
+        # kept for twice the longest deadline.
         if self._timers.now() >= call.deadline_at:
             exchange.close()
             failure = Failure(ErrorKind.TOO_LATE_TO_START, "no time is left to run")
-            return self._ended(call, failure, call.offset)
-        begun = grant.start(call.attempt_id)
-        if isinstance(begun, Err):
+            return self._record_end(call, failure, call.offset)
+        started = grant.start(call.attempt_id)
+        if isinstance(started, Err):
             exchange.close()
-            return self._ended(call, begun.err_value, call.offset)
-        self._sent.leaving(call.request_id, call.once)
+            return self._record_end(call, started.err_value, call.offset)
+        self._sent.record_send(call.request_id, call.at_most_once)
         ended = False
         try:
             end = await self._exchange(call, exchange, sink)
-            ended = end.failure is None or await self._stopped(
+            ended = end.failure is None or await self._confirm_stopped(
                 call, exchange, end.failure
             )
         finally:
             exchange.release()
             grant.finish(call.attempt_id, ended=ended)
-        return self._ended(call, end.failure, end.next_index)
+        return self._record_end(call, end.failure, end.next_index)
 
-    async def _stopped(
+    async def _confirm_stopped(
         self, call: AttemptCall, exchange: Exchange, failure: Failure
     ) -> bool:
-        """Whether the target is known to be done with an attempt that failed.
+        """Return whether the target is known to have stopped a failed attempt.
 
-        A closed connection alone proves nothing: the target may run on until it
-        notices. A cancel that it answered does, and frees the grant at once.
+        A closed connection alone proves nothing: the target may keep running until
+        it notices. A cancel that it answered is proof and frees the grant at once.
 
-        GRA-6: but not before the answer had begun. The cancel has a connection of
-        its own and may overtake a request that is still on its way; the target then
-        knows no such request, runs it later, and the owner evicts under it.
+        GRA-6: a cancel counts only if the answer had started. It uses a connection of
+        its own and may overtake a request that is still in transit. The target then
+        does not know the request, runs it later, and the owner evicts the adapter
+        while it is in use.
         """
         if failure.kind is ErrorKind.TARGET_REFUSED:
-            self._sent.promised(call.request_id)
+            self._sent.record_not_run(call.request_id)
             return True
         cancelled = await self._clients.client(call.address).cancel(call.attempt_id)
         return isinstance(cancelled, Ok) and exchange.head is not None
@@ -161,19 +167,19 @@
             "/v1/completions",
             headers,
             _body(call),
-            receiver.take,
+            receiver.on_data,
             max(0.001, min(left, self._settings["STREAM_SILENT_S"])),
         )
         if isinstance(sent, Err):
             failure = self._timed_out(call, sent.err_value)
             return AttemptEnd(failure, check.next_index)
-        ended = await self._read(call, exchange, receiver)
-        return AttemptEnd(receiver.judge(ended), check.next_index)
+        read_failure = await self._read(call, exchange, receiver)
+        return AttemptEnd(receiver.final_failure(read_failure), check.next_index)
 
     async def _read(
         self, call: AttemptCall, exchange: Exchange, receiver: "_Receiver"
     ) -> Failure | None:
-        """Read the answer to its end, the deadline, silence or the caller's leaving."""
+        """Read until the answer ends, stalls, is abandoned or passes the deadline."""
         silent_s = self._settings["STREAM_SILENT_S"]
         reading = asyncio.ensure_future(exchange.read_to_end(silent_s))
         while not reading.done():
@@ -187,7 +193,7 @@
             if now >= call.deadline_at:
                 exchange.close()
                 return Failure(ErrorKind.DEADLINE_PASSED, "the deadline passed")
-            left = min(CHECK_S, call.deadline_at - now)
+            left = min(CHECK_INTERVAL_S, call.deadline_at - now)
             await asyncio.wait([reading], timeout=max(0.001, left))
         result = await reading
         return None if isinstance(result, Ok) else result.err_value
@@ -197,7 +203,7 @@
             return failure
         return Failure(ErrorKind.DEADLINE_PASSED, failure.detail)
 
-    def _ended(
+    def _record_end(
         self, call: AttemptCall, failure: Failure | None, next_index: int
     ) -> AttemptEnd:
         result = "whole" if failure is None else failure.kind.value
@@ -210,7 +216,7 @@
 
 
 class _Receiver:
-    """Takes the bytes of one answer and hands on what passed the check."""
+    """Receives the bytes of one answer and forwards the events that pass the check."""
 
     def __init__(
         self,
@@ -233,8 +239,8 @@
         """Whether the caller has left."""
         return self._sink.gone
 
-    def take(self, data: bytes) -> Awaitable[None] | None:
-        """Take bytes of the body, from the exchange."""
+    def on_data(self, data: bytes) -> Awaitable[None] | None:
+        """Handle bytes of the body, called by the exchange."""
         if self.failure is not None:
             return None
         if self._is_refusal():
@@ -249,11 +255,11 @@
         self._relayed.inc(self._check.next_index - before)
         if not checked.ok_value:
             return None
-        self._assert_own(checked.ok_value, self._check.next_index - before)
+        self._check_invariants(checked.ok_value, self._check.next_index - before)
         return self._sink.write(checked.ok_value)
 
-    def _assert_own(self, events: bytes, counted: int) -> None:
-        """Assert that what goes to the caller is of its own answer, and counted."""
+    def _check_invariants(self, events: bytes, counted: int) -> None:
+        """Check that the events are of the expected answer and all counted."""
         expected = self._check.expected
         self._invariants.check(
             "answer-names-its-assignment",
@@ -264,16 +270,16 @@
             "tokens-counted", token_count(events) == counted, expected.attempt_id
         )
 
-    def judge(self, ended: Failure | None) -> Failure | None:
-        """Return what became of the attempt, None if its answer came whole."""
+    def final_failure(self, read_failure: Failure | None) -> Failure | None:
+        """Return why the attempt failed, None if its answer was complete."""
         if self.failure is not None:
             return self.failure
-        if self._is_refusal() and ended is None:
+        if self._is_refusal() and read_failure is None:
             return _refused(self._exchange.head.status, self._refusal)
         if self._check.done:
             return None
-        if ended is not None:
-            return ended
+        if read_failure is not None:
+            return read_failure
         return Failure(ErrorKind.ANSWER_CUT, "the answer ended without its end marker")
 
     def _is_refusal(self) -> bool:
@@ -282,15 +288,15 @@
 
 
 def _refused(status: int, body: bytes) -> Failure:
-    """Read a refusal; only the target's own word proves that nothing ran."""
+    """Parse a refusal; only ``"ran": false`` in it proves that nothing ran."""
     try:
         refusal = json.loads(body)
-        promised = refusal["ran"] is False
+        not_run = refusal["ran"] is False
         detail = str(refusal.get("error", status))
     except (ValueError, KeyError, TypeError, AttributeError):
-        promised = False
+        not_run = False
         detail = f"status {status}"
-    if promised:
+    if not_run:
         return Failure(ErrorKind.TARGET_REFUSED, detail)
     return Failure(ErrorKind.TARGET_LOST, detail)
 
--- a/hawthornlead/callers/outcomes.py
+++ b/hawthornlead/callers/outcomes.py
@@ -1,10 +1,10 @@
-"""How a caller's request ended: what its caller is told, and what is noted of it.
+"""Outcomes of callers' requests: the failure to answer, and metrics and events.
 
-Requests for adapters and calls to plain services end alike::
+Shared by requests for adapters and calls to plain services::
 
     outcomes = OutcomeRecorder(events=events, metrics=metrics, sent=sent)
-    outcomes.answered("r-17")
-    return outcomes.refused("r-18", truthful(failure, ran=True))
+    outcomes.record_answer("r-17")
+    return outcomes.record_refusal("r-18", truthful(failure, ran=True))
 """
 
 from result import Err
@@ -16,21 +16,21 @@
 
 
 class OutcomeRecorder:
-    """Counts and records how requests ended, right before their callers are told."""
+    """Counts and logs how requests ended, right before their callers are answered."""
 
     def __init__(self, *, events: EventRing, metrics: Metrics, sent: SentAttempts):
         self._events = events
         self._metrics = metrics
         self._sent = sent
 
-    def answered(self, request_id: str) -> None:
-        """Note that a request was answered whole."""
+    def record_answer(self, request_id: str) -> None:
+        """Record that a request was answered completely."""
         self._metrics.requests.labels("whole").inc()
         self._events.emit(EventKind.REQUEST_ANSWERED, request_id)
 
-    def refused(self, request_id: str, failure: Failure) -> Err[Failure]:
-        """Note that a request failed, its kind held against what was sent."""
-        self._sent.refusing(request_id, failure)
+    def record_refusal(self, request_id: str, failure: Failure) -> Err[Failure]:
+        """Record that a request failed, and check the failure against what was sent."""
+        self._sent.check_refusal(request_id, failure)
         self._metrics.requests.labels(failure.kind.value).inc()
         self._events.emit(
             EventKind.REQUEST_REFUSED,
@@ -43,15 +43,15 @@
 
 
 def may_have_run(failure: Failure) -> bool:
-    """Whether an attempt that ended so may have run on its target."""
+    """Return whether an attempt with this failure may have run on its target."""
     return failure.answer.ran is not Ran.NOT_RUN
 
 
-def truthful(failure: Failure, ran: bool) -> Failure:
-    """Return the failure to answer, never 'not run' when an earlier attempt ran.
+def failure_to_answer(failure: Failure, ran: bool) -> Failure:
+    """Return the failure to answer: never 'not run' if an earlier attempt may have run.
 
-    Guards against a retry that ends in a refusal: the last attempt did not run, but
-    the one before it may have.
+    A retry can end in a refusal. Its own attempt did not run, but the one before it
+    may have.
     """
     if not ran or may_have_run(failure):
         return failure
--- a/hawthornlead/callers/requests.py
+++ b/hawthornlead/callers/requests.py
@@ -1,7 +1,7 @@
-"""The path of a request: admit, assign, route, be granted, send, retry, answer.
+"""The path of an adapter request: admit, assign, route, get a grant, send, retry.
 
-A request is assigned at its admission: the bundle in force at that moment names its
-adapter and version, and a roll that comes later does not change them.
+A request is assigned at its admission: the bundle in force at that moment determines
+its adapter and version, and a later roll does not change them.
 """
 
 import hashlib
@@ -29,28 +29,28 @@
 from .attempts import AttemptCall, AttemptEnd, AttemptRunner, Sink
 from .claim_rows import DONE
 from .grant_rounds import Granted, GrantRounds, Try
-from .outcomes import OutcomeRecorder, may_have_run, truthful
+from .outcomes import OutcomeRecorder, failure_to_answer, may_have_run
 from .request_claims import Keyed, Outcome, RequestClaims
 from .sent_attempts import SentAttempts
 
-# Errors after which a repeatable request may be tried again although it may have
-# run: its attempt is over, and what was handed on is counted.
+# Errors after which a repeatable request may be retried although it may have run:
+# the attempt has ended, and the tokens that were forwarded are counted.
 RESUMABLE = frozenset(
     {ErrorKind.TARGET_LOST, ErrorKind.ANSWER_CUT, ErrorKind.WRONG_ANSWER}
 )
-# A suspect asks again after this, while others run wherever it might.
-JOIN_AGAIN_S = 0.1
-SUSPECTS_RUN = Failure(
+# Interval at which a suspect retries while other suspects run on all its targets.
+SUSPECT_RETRY_S = 0.1
+NO_TARGET_FOR_SUSPECT = Failure(
     ErrorKind.NO_TARGET, "it may run only where no other suspect does", 1.0
 )
 
 
 class CallerRequest(NamedTuple):
-    """A request as its caller sent it, with its limits worked out.
+    """A request as its caller sent it, with its priority and deadline resolved.
 
     ``deadline_at`` is on the timer service's clock. ``key`` is the idempotency key,
     empty for a request that may be repeated; ``key_issued_at`` is in seconds since
-    the epoch by the caller's clock, None where it was not told.
+    the epoch by the caller's clock, None if the caller did not send it.
     """
 
     request_id: str
@@ -66,13 +66,13 @@
 
     @property
     def fingerprint(self) -> bytes:
-        """What two tries of the same request have in common."""
+        """A hash that is equal for all tries of the same request."""
         text = f"{self.caller.name}\n{self.alias}\n{self.max_tokens}\n{self.prompt}"
         return hashlib.blake2b(text.encode(), digest_size=16).digest()
 
 
 class AnswerHead(NamedTuple):
-    """What gave an answer: told to the caller before the first token."""
+    """Where an answer comes from; the caller gets this before the first token."""
 
     request_id: str
     adapter: str
@@ -82,13 +82,13 @@
 
 
 class RequestSink(Sink):
-    """A sink that also takes the head of the answer."""
+    """A sink that also gets the head of the answer."""
 
     started: bool
     count: int
 
-    def begin(self, head: AnswerHead) -> None:
-        """Note what will give the answer; a later call replaces an earlier one."""
+    def set_head(self, head: AnswerHead) -> None:
+        """Set where the answer comes from; a later call replaces an earlier one."""
 
 
 class RecordedAnswer(NamedTuple):
@@ -98,7 +98,7 @@
 
 
 class Routing(NamedTuple):
-    """How targets are chosen for a request, and asked for the right to run there."""
+    """The parts that choose targets for a request and acquire grants on them."""
 
     views: TargetViews
     router: Router
@@ -107,7 +107,7 @@
 
 
 class CrashParts(NamedTuple):
-    """What keeps a request that crashes its target from crashing others."""
+    """The parts that keep a request that crashes its target from crashing others."""
 
     suspects: Suspects
     deaths: TargetDeaths
@@ -162,28 +162,28 @@
     async def serve(
         self, request: CallerRequest, sink: RequestSink
     ) -> Result[RecordedAnswer | None, Failure]:
-        """Serve one request; ``None`` means that its answer went to the sink whole.
+        """Serve one request; ``None`` means that the sink got the complete answer.
 
-        Every error tells the truth about the run by its kind.
+        The kind of an error states correctly whether the request may have run.
         """
         admitted = self._admissions.admit(request.caller, request.priority)
         if isinstance(admitted, Err):
-            return self._outcomes.refused(request.request_id, admitted.err_value)
+            return self._outcomes.record_refusal(request.request_id, admitted.err_value)
         self._metrics.open_requests.inc()
         try:
             return await self._serve_admitted(request, sink)
         finally:
             self._metrics.open_requests.dec()
-            self._sent.forget(request.request_id)
+            self._sent.discard(request.request_id)
             admitted.ok_value.release()
 
     async def _serve_admitted(self, request, sink):
         assigned = request.in_force.bundle.assign(request.caller, request.alias)
         if isinstance(assigned, Err):
-            return self._outcomes.refused(request.request_id, assigned.err_value)
+            return self._outcomes.record_refusal(request.request_id, assigned.err_value)
         allowed = self._suspects.check(request.fingerprint)
         if isinstance(allowed, Err):
-            return self._outcomes.refused(request.request_id, allowed.err_value)
+            return self._outcomes.record_refusal(request.request_id, allowed.err_value)
         assignment = assigned.ok_value
         newest = request.in_force.seq >= self._keeper.seq_in_force
         self._invariants.check("admitted-under-newest", newest, request.request_id)
@@ -199,7 +199,7 @@
         )
         if not request.key:
             outcome = await self._try_targets(request, assignment, sink)
-            return self._answered(request, outcome)
+            return self._finish(request, outcome)
         return await self._serve_once(request, assignment, sink)
 
     async def _serve_once(self, request, assignment, sink):
@@ -213,24 +213,24 @@
         )
         claimed = await self._claims.claim(keyed)
         if isinstance(claimed, Err):
-            return self._outcomes.refused(request.request_id, claimed.err_value)
+            return self._outcomes.record_refusal(request.request_id, claimed.err_value)
         if claimed.ok_value.state == DONE:
             return Ok(RecordedAnswer(claimed.ok_value))
         failure = await self._try_targets(request, assignment, sink)
         if failure is None:
-            # A streamed answer is not kept: a later try is told only that it ran.
+            # A streamed answer is not stored: a later try learns only that it ran.
             body = sink.recorded()
             outcome = Outcome(DONE, 200, "application/json" if body else "", body)
         else:
             failure = failure._replace(claim_read=True)
             outcome = Outcome.failed(failure)
         await self._claims.record(keyed, outcome)
-        return self._answered(request, failure)
+        return self._finish(request, failure)
 
     async def _try_targets(
         self, request: CallerRequest, assignment: Assignment, sink: RequestSink
     ) -> Failure | None:
-        """Try targets until one answered whole or no further try is allowed."""
+        """Try targets until one answers completely or no further try is allowed."""
         offset = 0
         ran = False
         tried: set[str] = set()
@@ -248,7 +248,7 @@
                 )
                 failure = end.failure
             if failure is None:
-                return self._counted(request, end, sink)
+                return self._check_count(request, end, sink)
             offset = end.next_index
             ran = ran or may_have_run(failure)
             if not await self._may_retry(request, failure, number):
@@ -256,13 +256,13 @@
             self._events.emit(
                 EventKind.REQUEST_RETRIED, request.request_id, after=failure.kind.value
             )
-        return truthful(failure, ran)
+        return failure_to_answer(failure, ran)
 
-    def _counted(self, request, end: AttemptEnd, sink) -> Failure | None:
+    def _check_count(self, request, end: AttemptEnd, sink) -> Failure | None:
         """Check that all tokens which the target counted went to the caller.
 
-        Guards against an answer over several attempts that lacks tokens: each end
-        marker was right, but an attempt began behind what had been handed on.
+        An answer over several attempts could lack tokens although each end marker was
+        right, if an attempt started beyond the last token that was forwarded.
         """
         detail = f"{request.request_id}: {sink.count} of {end.next_index}"
         whole = sink.count == end.next_index
@@ -271,13 +271,13 @@
         return Failure(ErrorKind.WRONG_ANSWER, f"tokens are missing: {detail}")
 
     async def _may_retry(self, request, failure: Failure, number: int) -> bool:
-        """Wait out the backoff and say whether another attempt may start."""
+        """Wait for the backoff and return whether another attempt may start."""
         repeatable = not request.key
         allowed = failure.answer.retry or (repeatable and failure.kind in RESUMABLE)
         if not allowed or not await self._retries.wait(number, request.deadline_at):
             return False
-        # Guards against a request that kills every target it is retried on: it was
-        # admitted before its first crash, and is quarantined by its own attempts.
+        # A request that crashes its targets was admitted before its first crash. Its
+        # own attempts quarantine it, so it must be checked again before each retry.
         return self._suspects.check(request.fingerprint).is_ok()
 
     async def _attempt(
@@ -285,7 +285,7 @@
     ) -> AttemptEnd:
         view = one_try.view
         attempt_id = f"{request.request_id}.{number}"
-        sink.begin(
+        sink.set_head(
             AnswerHead(
                 request.request_id,
                 assignment.adapter,
@@ -306,7 +306,7 @@
             request.deadline_at,
             fresh=bool(request.key) or number > 1,
             request_id=request.request_id,
-            once=bool(request.key),
+            at_most_once=bool(request.key),
         )
         running = self._deaths.record_start(view, attempt_id, request.fingerprint)
         try:
@@ -319,16 +319,16 @@
             await self._deaths.check(view, running, end.failure)
         elif end.failure.kind is ErrorKind.CALLER_GONE:
             self._events.emit(EventKind.CALLER_LEFT, attempt_id, target=view.target)
-        # Only now: another suspect is kept away until a death has been told.
+        # Released last: no other suspect may start until a death has been recorded.
         self._suspect_reservations.release(view, request.request_id)
         return end
 
     async def _grant(
         self, request: CallerRequest, assignment: Assignment, tried: set[str]
     ) -> Result[Granted, Failure]:
-        """Get a grant on the best target that gives one before the deadline.
+        """Acquire a grant on the best target that gives one before the deadline.
 
-        A suspect waits while other suspects run wherever it might.
+        A suspect waits while other suspects run on all targets it could use.
         """
         while True:
             granted = await self._rounds.acquire(
@@ -338,36 +338,36 @@
                 lambda: self._joinable(request, self._tries(assignment, tried)),
             )
             if isinstance(granted, Ok):
-                # Another suspect may have begun there during the wait.
+                # Another suspect may have started there during the wait.
                 joins = self._joinable(request, [granted.ok_value.one_try])
-                if joins and await self._placed(request, joins[0].view):
+                if joins and await self._reserve_target(request, joins[0].view):
                     return granted
             tries = self._tries(assignment, tried)
             if isinstance(granted, Err) and (
                 not tries or self._joinable(request, tries)
             ):
                 return granted
-            if request.deadline_at - self._timers.now() < JOIN_AGAIN_S:
-                return Err(SUSPECTS_RUN)
-            # The grant goes back unused while this waits.
+            if request.deadline_at - self._timers.now() < SUSPECT_RETRY_S:
+                return Err(NO_TARGET_FOR_SUSPECT)
+            # Release the unused grant during the wait.
             del granted
-            await self._timers.sleep(JOIN_AGAIN_S)
+            await self._timers.sleep(SUSPECT_RETRY_S)
 
-    async def _placed(self, request: CallerRequest, view: TargetView) -> bool:
-        """Whether the request may begin there beside what other VMs run there."""
+    async def _reserve_target(self, request: CallerRequest, view: TargetView) -> bool:
+        """Reserve the target for a suspect; return whether the request may start."""
         if not self._suspects.is_suspect(request.fingerprint):
             return True
         hold_s = request.deadline_at - self._timers.now()
-        taken = await self._suspect_reservations.reserve(
+        reserved = await self._suspect_reservations.reserve(
             view, request.request_id, hold_s
         )
-        return isinstance(taken, Ok)
+        return isinstance(reserved, Ok)
 
     def _joinable(self, request: CallerRequest, tries: list[Try]) -> list[Try]:
-        """Return the targets on which a request may run beside what runs there.
+        """Return the targets on which a request may run beside those running there.
 
-        Guards against two suspects on a target that dies, which would tell nothing
-        of which one did it: an innocent request is refused for long.
+        If two suspects ran on a target that dies, it would be unknown which of them
+        crashed it, and an innocent request would be quarantined.
         """
         found = []
         for one_try in tries:
@@ -377,7 +377,7 @@
         return found
 
     def _tries(self, assignment: Assignment, tried: set[str]) -> list[Try]:
-        """Order the targets: where the adapter is first, then where to load it."""
+        """Return the usable targets: first those with the adapter, then others."""
         now = self._timers.now()
         views = self._routing.views.views()
         usable = [view for view in views if not view.leaving]
@@ -390,8 +390,8 @@
         fresh = [one_try for one_try in tries if one_try.view.target not in tried]
         return fresh or tries
 
-    def _answered(self, request, failure: Failure | None):
+    def _finish(self, request, failure: Failure | None):
         if failure is not None:
-            return self._outcomes.refused(request.request_id, failure)
-        self._outcomes.answered(request.request_id)
+            return self._outcomes.record_refusal(request.request_id, failure)
+        self._outcomes.record_answer(request.request_id)
         return Ok(None)
--- a/hawthornlead/callers/sent_attempts.py
+++ b/hawthornlead/callers/sent_attempts.py
@@ -1,13 +1,13 @@
-"""Which open requests may have run, noted where their bytes leave.
+"""Which open requests may have run, recorded where their bytes are sent.
 
-This is kept beside what the paths of requests conclude from errors, and is held
-against it: a refusal that says "not run" of a request whose bytes left, without a
-promise of the target, breaks an invariant, however the error came about::
+This is independent of what the request paths conclude from errors, and is checked
+against it. A "not run" refusal of a request that was sent breaks an invariant unless
+the target confirmed that it did not run, whatever the error was::
 
-    sent.leaving("r-17", once=True)     # right before the send
-    sent.promised("r-17")               # the target said that it did not run
-    sent.refusing("r-17", failure)      # checked before the caller is told
-    sent.forget("r-17")
+    sent.record_send("r-17", at_most_once=True)  # right before the send
+    sent.record_not_run("r-17")               # the target confirmed that it did not run
+    sent.check_refusal("r-17", failure)      # before the caller is answered
+    sent.discard("r-17")
 """
 
 from collections import Counter
@@ -21,25 +21,25 @@
 
     def __init__(self, *, invariants: Invariants):
         self._invariants = invariants
-        self._in_doubt: Counter[str] = Counter()
-
-    def leaving(self, request_id: str, once: bool) -> None:
-        """Note that an attempt's bytes leave; ``once``: it may not be repeated."""
-        first = self._in_doubt[request_id] == 0
-        self._invariants.check("keyed-sent-once", first or not once, request_id)
-        self._in_doubt[request_id] += 1
-
-    def promised(self, request_id: str) -> None:
-        """Note that a target promised that the newest attempt did not run."""
-        self._in_doubt[request_id] -= 1
-
-    def refusing(self, request_id: str, failure: Failure) -> None:
-        """Check a refusal against what was sent."""
-        told = failure.answer.ran is not Ran.NOT_RUN
-        holds = told or self._in_doubt.get(request_id, 0) <= 0
+        self._unresolved: Counter[str] = Counter()
+
+    def record_send(self, request_id: str, at_most_once: bool) -> None:
+        """Record that an attempt is being sent; ``at_most_once``: never twice."""
+        first = self._unresolved[request_id] == 0
+        self._invariants.check("keyed-sent-once", first or not at_most_once, request_id)
+        self._unresolved[request_id] += 1
+
+    def record_not_run(self, request_id: str) -> None:
+        """Record that the target confirmed that the newest attempt did not run."""
+        self._unresolved[request_id] -= 1
+
+    def check_refusal(self, request_id: str, failure: Failure) -> None:
+        """Check that a "not run" refusal is of a request that did not run."""
+        admits_run = failure.answer.ran is not Ran.NOT_RUN
+        holds = admits_run or self._unresolved.get(request_id, 0) <= 0
         detail = f"{request_id} {failure.kind.value}"
         self._invariants.check("not-run-never-sent", holds, detail)
 
-    def forget(self, request_id: str) -> None:
-        """Forget a request that was answered."""
-        self._in_doubt.pop(request_id, None)
+    def discard(self, request_id: str) -> None:
+        """Discard the record of a request that was answered."""
+        self._unresolved.pop(request_id, None)
--- a/hawthornlead/callers/service_calls.py
+++ b/hawthornlead/callers/service_calls.py
@@ -21,7 +21,7 @@
 from ..events import EventKind
 from ..ownership.platforms import VmEntry, VmList
 from .claim_rows import DONE
-from .outcomes import OutcomeRecorder, may_have_run, truthful
+from .outcomes import OutcomeRecorder, failure_to_answer, may_have_run
 from .request_claims import Keyed, Outcome, RequestClaims
 from .sent_attempts import SentAttempts
 
@@ -117,16 +117,16 @@
         """Serve one call; every error tells the truth about the run by its kind."""
         admitted = self._admissions.admit(call.caller, call.priority)
         if isinstance(admitted, Err):
-            return self._outcomes.refused(call.request_id, admitted.err_value)
+            return self._outcomes.record_refusal(call.request_id, admitted.err_value)
         try:
             outcome = await self._serve_admitted(call)
         finally:
             admitted.ok_value.release()
         if isinstance(outcome, Err):
-            outcome = self._outcomes.refused(call.request_id, outcome.err_value)
+            outcome = self._outcomes.record_refusal(call.request_id, outcome.err_value)
         else:
-            self._outcomes.answered(call.request_id)
-        self._sent.forget(call.request_id)
+            self._outcomes.record_answer(call.request_id)
+        self._sent.discard(call.request_id)
         return outcome
 
     async def _serve_admitted(self, call):
@@ -169,7 +169,7 @@
             ran = ran or may_have_run(failure)
             if not await self._may_retry(call, failure, number):
                 break
-        return Err(truthful(failure, ran))
+        return Err(failure_to_answer(failure, ran))
 
     async def _may_retry(self, call, failure: Failure, number: int) -> bool:
         allowed = failure.answer.retry or (
@@ -219,7 +219,7 @@
         self._events.emit(EventKind.REQUEST_SENT, attempt_id, target=entry.name)
         body = _Body(exchange)
         silent_s = max(0.001, min(left, self._settings["STREAM_SILENT_S"]))
-        self._sent.leaving(call.request_id, once=not call.repeatable)
+        self._sent.record_send(call.request_id, at_most_once=not call.repeatable)
         sent = await exchange.send(
             call.method, call.path, headers, call.body, body.take, silent_s
         )
@@ -233,7 +233,7 @@
             return Err(self._timed_out(call, ended.err_value))
         head = sent.ok_value
         if head.status == 503 and head.headers.get("Ran", "").lower() == "no":
-            self._sent.promised(call.request_id)
+            self._sent.record_not_run(call.request_id)
             detail = f"{entry.name} refused the call"
             return Err(Failure(ErrorKind.TARGET_REFUSED, detail, 1.0))
         if head.status >= 500:
--- a/hawthornlead/callers/sinks.py
+++ b/hawthornlead/callers/sinks.py
@@ -63,7 +63,7 @@
         """How many tokens were taken."""
         return len(self._texts)
 
-    def begin(self, head: AnswerHead) -> None:
+    def set_head(self, head: AnswerHead) -> None:
         """Note what gives the answer; a later attempt's head replaces it."""
         self._head = head
 
@@ -118,7 +118,7 @@
         """How many tokens were taken."""
         return self._count
 
-    def begin(self, head: AnswerHead) -> None:
+    def set_head(self, head: AnswerHead) -> None:
         """Note what gives the answer; the caller is told with the first token."""
         if not self._started:
             self._head = head
--- a/hawthornlead/tests/test_sinks.py
+++ b/hawthornlead/tests/test_sinks.py
@@ -25,7 +25,7 @@
 
     async def get(self):
         sink = StreamSink(self, 0.001, self._slow_s)
-        sink.begin(HEAD)
+        sink.set_head(HEAD)
         ended = asyncio.get_running_loop().create_future()
         self._sinks.put_nowait((sink, ended))
         await ended
