--- a/hawthornlead/callers/attempts.py
+++ b/hawthornlead/callers/attempts.py
@@ -38,7 +38,7 @@
         """Whether the caller has left."""
 
     def write(self, events: bytes) -> Awaitable[None] | None:
-        """Accept whole token events; a returned future delays reading from the target."""
+        """Accept whole token events; a returned future pauses reading the target."""
 
 
 class AttemptCall(NamedTuple):
--- a/hawthornlead/callers/claim_ranges.py
+++ b/hawthornlead/callers/claim_ranges.py
@@ -1,13 +1,13 @@
 """One range of claims in the object API: group commit, sealing, retention.
 
-All claims and outcomes that a VM has for a range at a moment are committed by one
-conditional update of the range's head object, ``claims/RANGE``. A head that has
-grown is sealed: its rows go into a segment object that never changes,
-``claim-segments/RANGE.SERIAL``, and the head names it. Any number of VMs may commit
-to a range at once; the conditional update makes one of them go first.
-
-Retention compares no clocks: a VM drops a segment when it has itself seen it sealed
-for ``CLAIM_KEEP_S`` by its monotonic clock, so that no claim is kept shorter.
+All pending claims and outcomes of a VM for a range are committed by one conditional
+update of the range's head object, ``claims/RANGE``. A head that has grown large is
+sealed: its rows move into a segment object that never changes,
+``claim-segments/RANGE.SERIAL``, and the head names it. Several VMs may commit to a
+range at the same time; the conditional update serializes them.
+
+Retention compares no clocks: a VM removes a segment after it has itself known it for
+``CLAIM_KEEP_S`` by its monotonic clock, so no claim is kept for less.
 """
 
 import asyncio
@@ -28,9 +28,9 @@
 SEGMENTS = "claim-segments"
 SEAL_ROWS = 500
 SEAL_BYTES = 256 << 10
-BATCH = 256
+MAX_BATCH_SIZE = 256
 MAX_PENDING = 2048
-READ_TRIES = 8
+MAX_READ_ATTEMPTS = 8
 RETRY_AFTER_S = 1.0
 
 
@@ -40,13 +40,13 @@
 
 
 class _Commit:
-    """One change of a head; called again for each try of the update."""
+    """One change of a head; called once for each try of the update."""
 
     def __init__(self, operations, claim_range: "ClaimRange"):
         self._operations = operations
         self._range = claim_range
-        # One moment for all tries: a try whose reply was lost may be the one that
-        # stands, and its answers must be those of the later tries.
+        # All tries use the same time. A try whose reply was lost may be the one that
+        # took effect, and its answers must equal those of the later tries.
         self._now = claim_range.now()
         self.answers: list[Result] = []
         self.missing: list[str] = []
@@ -57,16 +57,16 @@
         self.missing = book.missing
         if self.missing:
             return None
-        self.dropped = self._range.expired(book.names, self._now)
+        self.dropped = self._range.expired(book.segment_names, self._now)
         for name in self.dropped:
-            book.drop(name)
+            book.remove_segment(name)
         self.answers = [self._apply(book, operation) for operation in self._operations]
         return book.value() if book.changed else None
 
     def _apply(self, book: ClaimBook, operation) -> Result:
         if isinstance(operation, RecordOutcome):
             return book.record(operation)
-        before = book.get(row_id(operation.caller, operation.key))
+        before = book.get_row(row_id(operation.caller, operation.key))
         claimed = book.claim(operation, self._range.is_gone)
         if claimed.state == NEW:
             self._range.check_new(operation, before)
@@ -74,7 +74,7 @@
 
 
 class ClaimRange:
-    """The commits of this VM to one range."""
+    """Commits this VM's claims and outcomes to one range."""
 
     def __init__(self, number: int, *, core: CoreParts, store, is_gone):
         self._name = str(number)
@@ -86,13 +86,13 @@
         self.is_gone: IsGone = is_gone
         self.segments: dict[str, dict[str, ClaimRow]] = {}
         self._seen_at: dict[str, float] = {}
-        self._head = (-1, core.timers.now())
-        self._known: StoredObject | None = None
+        self._head_seen = (-1, core.timers.now())
+        self._known_head: StoredObject | None = None
         self._pending: list[_Pending] = []
         self._task: asyncio.Task | None = None
 
     async def submit(self, operation: Claim | RecordOutcome) -> Result:
-        """Commit one claim or outcome together with what comes meanwhile."""
+        """Commit one claim or outcome, batched with others that arrive meanwhile."""
         if len(self._pending) >= MAX_PENDING:
             detail = "too many claims wait to be written"
             return Err(Failure(ErrorKind.OVERLOADED, detail, RETRY_AFTER_S))
@@ -103,7 +103,7 @@
         return await pending.answer
 
     async def stop(self) -> None:
-        """Let the commit under way end."""
+        """Wait until the current commit has ended."""
         if self._task is not None:
             await asyncio.gather(self._task, return_exceptions=True)
 
@@ -112,10 +112,10 @@
         return self._timers.now()
 
     def expired(self, names: list[str], now: float) -> list[str]:
-        """Return the oldest segments whose retention is over.
+        """Return the oldest segments whose retention has expired.
 
-        A later segment may hold what became of a claim in an earlier one, so they
-        are dropped from the oldest on, without a gap.
+        A later segment may hold the outcome of a claim in an earlier one, so segments
+        are removed strictly from the oldest on.
         """
         found = []
         for name in names:
@@ -126,7 +126,7 @@
         return found
 
     def check_new(self, claim: Claim, before: ClaimRow | None) -> None:
-        """Assert that a key told to be new has no standing claim of another."""
+        """Check that a key reported as new has no claim of another attempt."""
         holds = before is None or before.state == FREE
         holds = holds or before.attempt_id == claim.attempt_id
         self._invariants.check("claim-new-once", holds, claim.attempt_id)
@@ -135,57 +135,57 @@
         try:
             await self._timers.sleep(self._settings["CLAIM_GATHER_MS"] / 1000)
             while self._pending:
-                batch = self._pending[:BATCH]
-                del self._pending[:BATCH]
-                await self._answer(batch)
+                batch = self._pending[:MAX_BATCH_SIZE]
+                del self._pending[:MAX_BATCH_SIZE]
+                await self._process(batch)
         finally:
             self._task = None
             abandoned, self._pending = self._pending, []
-            _settle(abandoned, Err(_unread("the commit was abandoned")))
+            _resolve(abandoned, Err(_unavailable("the commit was abandoned")))
 
-    async def _answer(self, batch: list[_Pending]) -> None:
+    async def _process(self, batch: list[_Pending]) -> None:
         commit = _Commit([pending.operation for pending in batch], self)
         try:
             committed = await self._commit(commit)
         except BaseException:
-            # Cancelled, too: whoever waits for this batch would wait for ever.
-            _settle(batch, Err(_unread("the commit was abandoned")))
+            # Includes cancellation: the batch's requesters would wait forever.
+            _resolve(batch, Err(_unavailable("the commit was abandoned")))
             raise
         if isinstance(committed, Err):
-            _settle(batch, committed)
+            _resolve(batch, committed)
             return
         for pending, answer in zip(batch, commit.answers, strict=True):
-            _settle([pending], answer)
+            _resolve([pending], answer)
         head = committed.ok_value.value
         named = head.get("segments", [])
         await self._clean_up([name for name in commit.dropped if name not in named])
         await self._seal(head)
 
     async def _commit(self, commit: _Commit) -> Result:
-        written = await self._write_over_known(commit)
+        written = await self._write_over_known_head(commit)
         if written is not None:
             return written
-        for _ in range(READ_TRIES):
+        for _ in range(MAX_READ_ATTEMPTS):
             written = await self._store.update(HEADS, self._name, commit)
             if isinstance(written, Err):
                 return written
             if not commit.missing:
-                self._known = written.ok_value
+                self._known_head = written.ok_value
                 return written
             read = await self._read_segments(commit.missing)
             if isinstance(read, Err):
                 return read
-        return Err(_unread("segments change faster than they are read"))
+        return Err(_unavailable("segments change faster than they are read"))
 
-    async def _write_over_known(self, commit: _Commit) -> Result | None:
+    async def _write_over_known_head(self, commit: _Commit) -> Result | None:
         """Write over the head as it was last seen, which saves reading it.
 
-        None where that did not do: another VM wrote meanwhile, the reply was lost,
-        or nothing is to be written, so that the answers hang on an old head. What
-        the commit does may be done again, since a row names its attempt: a claim
-        that took effect unseen is found, and is the asker's own.
+        Return None if this did not work: another VM wrote meanwhile, the reply was
+        lost, or there is nothing to write, in which case the answers would depend on
+        an outdated head. The commit may be repeated, since a row names its attempt: a
+        claim that took effect although its reply was lost is found and recognized.
         """
-        known, self._known = self._known, None
+        known, self._known_head = self._known_head, None
         if known is None or known.version == 0:
             return None
         value = commit(known.value)
@@ -196,7 +196,7 @@
         written = await self._store.put(HEADS, self._name, stamped, known.version)
         if isinstance(written, Err):
             return None
-        self._known = written.ok_value
+        self._known_head = written.ok_value
         return written
 
     async def _read_segments(self, names: list[str]) -> Result[None, Failure]:
@@ -205,7 +205,7 @@
             if isinstance(got, Err):
                 return got
             if got.ok_value is None:
-                # Dropped since the head was read: the next read of the head tells.
+                # Removed since the head was read; the next read of the head shows it.
                 continue
             self.segments[name] = read_rows(got.ok_value.value["claims"])
         return Ok(None)
@@ -220,12 +220,12 @@
                 await self._store.delete(SEGMENTS, name, got.ok_value.version)
 
     async def _seal(self, value: dict) -> None:
-        """Move the head's rows into a segment where there are many or old ones.
+        """Move the head's rows into a segment if there are many or old ones.
 
-        The segment is written first and named by the head's serial, so that two
-        VMs which seal the same head write the same segment, and a segment is never
-        written over. A crash in between leaves one that no head names: it is never
-        read, and costs its space.
+        The segment is written first and named by the head's serial: two VMs that seal
+        the same head write the same segment, and a segment is never overwritten. A
+        crash in between leaves a segment that no head names: it is never read, and
+        only takes up space.
         """
         if not self._is_due(value):
             return
@@ -251,13 +251,13 @@
         sealed = await self._store.update(HEADS, self._name, change)
         if isinstance(sealed, Err):
             return
-        self._known = sealed.ok_value
+        self._known_head = sealed.ok_value
         if name in sealed.ok_value.value["segments"]:
             self.segments[name] = read_rows(rows)
             self._seen_at.setdefault(name, self._timers.now())
             self._events.emit(EventKind.CLAIMS_SEALED, name, claims=len(rows))
             return
-        # Another commit came first, so that no head will ever name this segment.
+        # Another commit came first, so no head will ever name this segment.
         got = await self._store.get(SEGMENTS, name)
         if isinstance(got, Ok) and got.ok_value is not None:
             await self._store.delete(SEGMENTS, name, got.ok_value.version)
@@ -266,20 +266,23 @@
         rows = value.get("claims")
         if not rows:
             return False
-        if self._head[0] != value["sealed_at_serial"]:
-            self._head = (value["sealed_at_serial"], self._timers.now())
+        if self._head_seen[0] != value["sealed_at_serial"]:
+            self._head_seen = (value["sealed_at_serial"], self._timers.now())
         if len(rows) >= SEAL_ROWS:
             return True
-        if self._timers.now() - self._head[1] >= self._settings["CLAIM_KEEP_S"] / 2:
+        if (
+            self._timers.now() - self._head_seen[1]
+            >= self._settings["CLAIM_KEEP_S"] / 2
+        ):
             return True
         return len(json.dumps(rows)) >= SEAL_BYTES
 
 
-def _unread(detail: str) -> Failure:
+def _unavailable(detail: str) -> Failure:
     return Failure(ErrorKind.STORE_UNAVAILABLE, f"claims: {detail}", RETRY_AFTER_S)
 
 
-def _settle(batch: list[_Pending], answer: Result) -> None:
+def _resolve(batch: list[_Pending], answer: Result) -> None:
     for pending in batch:
         if not pending.answer.done():
             pending.answer.set_result(answer)
--- a/hawthornlead/callers/claim_rows.py
+++ b/hawthornlead/callers/claim_rows.py
@@ -1,9 +1,9 @@
-"""Rows of claims, and what a claim or an outcome does to them.
+"""Rows of claims, and how claims and outcomes change them.
 
-A claim of (caller, idempotency key) is one row, which once written stands until its
-retention is over. The head object of a range holds the newest rows; older ones are
-in sealed segments, which never change, so that a row in the head, or in a later
-segment, goes before an earlier one for the same key.
+A claim of (caller, idempotency key) is one row, which is kept until its retention has
+expired. The head object of a range holds the newest rows. Older ones are in sealed
+segments, which never change: for the same key a row in the head, or in a later
+segment, takes precedence over an earlier one.
 """
 
 import base64
@@ -47,87 +47,87 @@
 
 
 def row_id(caller: str, key: str) -> str:
-    """Return the name of a claim's row, of one length whatever the key's."""
+    """Return the name of a claim's row: a hash of caller and key."""
     text = json.dumps([caller, key]).encode()
     return hashlib.blake2b(text, digest_size=16).hexdigest()
 
 
 def read_rows(rows: dict[str, list]) -> dict[str, ClaimRow]:
-    """Return rows from the JSON of a head or a segment."""
+    """Parse the rows in the JSON of a head or a segment."""
     return {name: ClaimRow(*fields) for name, fields in rows.items()}
 
 
 class ClaimBook:
-    """The rows of one range: a head being changed, over sealed segments."""
+    """The rows of one range: a head that is being changed, and sealed segments."""
 
     def __init__(self, value: dict | None, segments: Segments):
         value = value or {}
         self.serial: int = value.get("serial", 0)
         self.sealed_at_serial: int = value.get("sealed_at_serial", 0)
-        self.names: list[str] = list(value.get("segments", []))
+        self.segment_names: list[str] = list(value.get("segments", []))
         self.rows = read_rows(value.get("claims", {}))
         self.changed = False
         self._segments = segments
 
     @property
     def missing(self) -> list[str]:
-        """The segments that were not read yet; no row may be judged before."""
-        return [name for name in self.names if name not in self._segments]
+        """The segments not read yet; no claim may be decided before they are."""
+        return [name for name in self.segment_names if name not in self._segments]
 
     def value(self) -> dict:
-        """Return the head as it is to be stored."""
+        """Return the head in the form in which it is stored."""
         rows = {name: list(row) for name, row in self.rows.items()}
         return {
             "serial": self.serial + 1,
             "sealed_at_serial": self.sealed_at_serial,
-            "segments": self.names,
+            "segments": self.segment_names,
             "claims": rows,
         }
 
-    def get(self, name: str) -> ClaimRow | None:
+    def get_row(self, name: str) -> ClaimRow | None:
         """Return the newest row of a name."""
         if name in self.rows:
             return self.rows[name]
-        for segment in reversed(self.names):
+        for segment in reversed(self.segment_names):
             if name in self._segments[segment]:
                 return self._segments[segment][name]
         return None
 
-    def put(self, name: str, row: ClaimRow) -> None:
+    def set_row(self, name: str, row: ClaimRow) -> None:
         """Set the newest row of a name."""
         self.rows[name] = row
         self.changed = True
 
-    def drop(self, name: str) -> None:
-        """Forget a segment whose retention is over."""
-        self.names.remove(name)
+    def remove_segment(self, name: str) -> None:
+        """Remove a segment whose retention has expired."""
+        self.segment_names.remove(name)
         self.changed = True
 
     def claim(self, claim: Claim, is_gone: IsGone) -> Claimed:
-        """Claim a key, or tell what became of the claim that stands.
+        """Claim a key, or return the state of its existing claim.
 
-        Only a key without a row, or whose row says that nothing ran, is new.
+        A key is new only if it has no row, or its row says that nothing ran.
         """
         name = row_id(claim.caller, claim.key)
-        row = self.get(name)
+        row = self.get_row(name)
         if row is None or (row.state == FREE and row.attempt_id != claim.attempt_id):
             fingerprint = claim.fingerprint.hex()
             owner = (claim.attempt_id, claim.vm, claim.incarnation)
-            self.put(name, ClaimRow(RUNNING, fingerprint, *owner))
+            self.set_row(name, ClaimRow(RUNNING, fingerprint, *owner))
             return Claimed(NEW, claim.attempt_id)
         if row.state == FREE:
-            # A claim that was delayed on its way until after its request had been
-            # refused: it must not take the key again, since nobody would free it.
+            # This claim message was delayed until after its request had been refused.
+            # It must not take the key again, since nothing would free it.
             return Claimed(UNKNOWN, row.attempt_id)
         if row.attempt_id == claim.attempt_id and row.state == RUNNING:
-            # The same claim came twice: through the VM that commits, whose reply
-            # was lost, and directly. It stands, and its one asker may run.
+            # The same claim arrived twice: through the committer, whose reply was
+            # lost, and directly. It is valid, and its single requester may run.
             return Claimed(NEW, claim.attempt_id)
         if row.fingerprint not in ("", claim.fingerprint.hex()):
             return Claimed(REUSED, row.attempt_id)
         if row.state == RUNNING and is_gone(row.vm, row.incarnation):
-            # The VM that claimed it is gone without an outcome: the request may
-            # have run, and must not be run again.
+            # The VM that claimed the key is gone without recording an outcome: the
+            # request may have run and must not run again.
             return Claimed(UNKNOWN, row.attempt_id)
         body = base64.b64decode(row.body)
         return Claimed(row.state, row.attempt_id, row.status, row.content_type, body)
@@ -135,17 +135,17 @@
     def record(self, outcome: RecordOutcome, fingerprint: str = "") -> Result:
         """Record an outcome on the claim of the same attempt.
 
-        Where no row stands, ``not_run`` still writes one: it moves the head's
-        version, so that a claim whose write is in doubt can't take effect later.
+        Even if there is no row, ``not_run`` writes one: this changes the head's
+        version, so a claim whose write may still be in transit can't take effect.
         """
         name = row_id(outcome.caller, outcome.key)
-        row = self.get(name)
+        row = self.get_row(name)
         if row is None:
             row = ClaimRow(RUNNING, fingerprint, outcome.attempt_id, "", "")
         if row.attempt_id != outcome.attempt_id:
-            # Guards against an older try that is refused and frees the key under a
-            # later one, which would run a third time (CLM-9): "not run" is recorded
-            # only on the claim of the try that says so.
+            # "not run" is recorded only on the claim of the try that reports it. An
+            # older try that is refused would otherwise free the key while a later
+            # one runs, and the request would run a third time (CLM-9).
             detail = "another attempt holds the claim"
             return Err(Failure(ErrorKind.VERSION_CONFLICT, detail))
         if row.state not in (RUNNING, UNKNOWN):
@@ -153,7 +153,7 @@
         if outcome.state == NOT_RUN and row.state == UNKNOWN:
             return Ok(None)
         state = FREE if outcome.state == NOT_RUN else outcome.state
-        self.put(
+        self.set_row(
             name,
             row._replace(
                 state=state,
--- a/hawthornlead/callers/request_claims.py
+++ b/hawthornlead/callers/request_claims.py
@@ -1,7 +1,7 @@
-"""Claims on idempotency keys, as the paths of requests and service calls use them.
+"""Claims on idempotency keys for adapter requests and service calls.
 
-``RequestClaims.claim`` answers whether a request may run; what it answers otherwise
-is true of the other tries with the key, too, where the claim was read::
+``RequestClaims.claim`` returns whether a request may run. If not, its failure has
+``claim_read`` set where it also holds for the other tries with the key::
 
     claimed = await claims.claim(keyed)
     if claimed.is_err():
@@ -23,8 +23,8 @@
 from .claim_rows import DONE, NEW, NOT_RUN, UNKNOWN
 from .claims import Claims
 
-# How far a caller's clock may be off, as a share of the time that claims are kept.
-CLOCK_SHARE = 0.1
+# The largest error of a caller's clock, as a share of the retention of claims.
+CLOCK_ERROR_SHARE = 0.1
 
 FAILURES: dict[str, Failure] = {
     "running": Failure(
@@ -44,7 +44,7 @@
     """One try of a request with an idempotency key.
 
     ``issued_at`` is when the caller made the key, in seconds since the epoch by the
-    caller's clock, None where it does not say.
+    caller's clock, None if it does not say.
     """
 
     caller: str
@@ -79,13 +79,16 @@
         self._claims = claims
 
     @property
-    def _clock_s(self) -> float:
-        """How far a caller's clock may be off, in seconds."""
-        return CLOCK_SHARE * self._keep_s
+    def _max_clock_error_s(self) -> float:
+        """The largest error of a caller's clock, in seconds."""
+        return CLOCK_ERROR_SHARE * self._keep_s
 
     async def claim(self, keyed: Keyed) -> Result[Claimed, Failure]:
         """Claim a key: ``new`` (run it) or ``done`` with the recorded outcome."""
-        if keyed.issued_at is not None and self._age_s(keyed) < -self._clock_s:
+        if (
+            keyed.issued_at is not None
+            and self._age_s(keyed) < -self._max_clock_error_s
+        ):
             detail = "the key was issued later than now: a clock is wrong"
             return Err(Failure(ErrorKind.BAD_REQUEST, detail))
         claimed = await self._claims.claim(
@@ -98,7 +101,7 @@
             return claimed
         if claim.state != NEW:
             return Err(FAILURES[claim.state]._replace(claim_read=True))
-        if self._may_be_forgotten(keyed):
+        if self._may_have_expired(keyed):
             await self.record(keyed, Outcome(NOT_RUN))
             detail = f"the key is older than claims are kept ({self._keep_s:.0f} s)"
             failure = Failure(ErrorKind.DUPLICATE_UNKNOWN, detail)
@@ -108,23 +111,23 @@
     async def record(self, keyed: Keyed, outcome: Outcome) -> None:
         """Record how a claimed request ended.
 
-        Where the record itself fails the claim stays without an outcome, which
-        later tries are told as 'may have run': never as 'not run'.
+        If this fails, the claim has no outcome, and later tries are answered 'may
+        have run', never 'not run'.
         """
         await self._claims.record(keyed.caller, keyed.key, keyed.request_id, *outcome)
 
-    def _may_be_forgotten(self, keyed: Keyed) -> bool:
-        """Whether the key may have had a claim that is forgotten by now.
+    def _may_have_expired(self, keyed: Keyed) -> bool:
+        """Return whether the key may have had a claim that has expired by now.
 
-        Guards against a second run of a request whose caller tries again after
-        long (CLM-8): it shows as a doubled answer. Asked after the claim was
-        written (CLM-2), since a process that froze in between, with the age read
-        before, would find the claim forgotten. A key that is young now had, if any,
-        a claim that still stood when this one was written, and was met by it.
+        Prevents a second run of a request whose caller retries after a long time
+        (CLM-8), which would show as a duplicate answer. Checked after the claim was
+        written (CLM-2): if the age were read before, the process could freeze in
+        between and find the earlier claim expired. If the key is young now, any
+        earlier claim still existed when this one was written, and was found.
         """
         if keyed.issued_at is None:
             return False
-        return self._age_s(keyed) > self._keep_s - self._clock_s
+        return self._age_s(keyed) > self._keep_s - self._max_clock_error_s
 
     def _age_s(self, keyed: Keyed) -> float:
         return self._timers.wall() - keyed.issued_at
--- a/hawthornlead/tests/test_claims.py
+++ b/hawthornlead/tests/test_claims.py
@@ -100,7 +100,7 @@
     assert refused.retry_after_s > 0
     fleet.objects.outage = False
     await fleet.timers.advance(3)
-    assert fleet.vms[FIRST].claims.owed == 0
+    assert fleet.vms[FIRST].claims.unrecorded == 0
     assert await fleet.state(SECOND, "k", "a2") == "new"
 
 
