--- a/hawthornlead/messages/__init__.py
+++ b/hawthornlead/messages/__init__.py
@@ -1,13 +1,13 @@
 """The typed messages that VMs send one another.
 
-Each message is a ``NamedTuple`` entered in ``MESSAGES`` by the ``message``
-decorator under the name it has on the wire. A field is an int, float, str, bytes,
+Each message is a ``NamedTuple`` registered in ``MESSAGES`` by the ``message``
+decorator under its name on the wire. A field is an int, float, str, bytes,
 bool, None, another ``NamedTuple`` of this package or a tuple of these. Fields are
 only ever added at the end, with a default, so that an older VM's message decodes.
 
 Times are relative (``..._s``, seconds): clocks of different VMs are never compared.
 
-One module holds the messages of one job; this package enters and offers them all.
+Each module holds the messages of one topic; this package registers and exports all.
 
 May import: the common modules.
 """
--- a/hawthornlead/messages/bundles.py
+++ b/hawthornlead/messages/bundles.py
@@ -42,7 +42,7 @@
 
 @message("fetch-chunk")
 class FetchChunk(NamedTuple):
-    """Ask for a chunk of a bundle by its digest."""
+    """Request a chunk of a bundle by its digest."""
 
     digest: str
 
@@ -57,7 +57,7 @@
 
 @message("fetch-bundle-pointer")
 class FetchBundlePointer(NamedTuple):
-    """Ask a peer for the newest bundle pointer that it knows."""
+    """Request the newest bundle pointer that a peer knows."""
 
 
 @message("bundle-pointer")
@@ -65,7 +65,7 @@
     """The newest accepted bundle that a VM knows, and what is staged after it.
 
     Every stage up to ``decided_seq`` was accepted or abandoned. ``age_s`` seconds
-    ago the staged bundle was not accepted yet; negative when nothing says so.
+    ago the staged bundle was not accepted yet; negative when that is unknown.
     """
 
     seq: int
--- a/hawthornlead/messages/claims.py
+++ b/hawthornlead/messages/claims.py
@@ -22,11 +22,11 @@
 
 @message("claimed")
 class Claimed(NamedTuple):
-    """What became of a claim.
+    """The reply to a claim.
 
-    ``state`` is ``new`` (the claim is the asker's: run it), ``running``, ``done``
+    ``state`` is ``new`` (the requester holds the claim: run it), ``running``, ``done``
     (with the recorded outcome), ``unknown`` (it may have run) or ``reused`` (the
-    key stands for another request).
+    key belongs to another request).
     """
 
     state: str
@@ -38,7 +38,7 @@
 
 @message("record-outcome")
 class RecordOutcome(NamedTuple):
-    """Record how the request of a claim ended; ``not_run`` frees the key."""
+    """Record the outcome of a claim's request; ``not_run`` releases the key."""
 
     caller: str
     key: str
--- a/hawthornlead/messages/crashes.py
+++ b/hawthornlead/messages/crashes.py
@@ -7,7 +7,7 @@
 
 @message("crash-suspects")
 class CrashSuspects(NamedTuple):
-    """Requests that were on a target when it died, by fingerprint."""
+    """Requests that ran on a target when it died, by fingerprint."""
 
     target: str
     boot_id: str
@@ -16,7 +16,7 @@
 
 @message("take-suspect-place")
 class ReserveSuspectSlot(NamedTuple):
-    """Ask a target's owner for its only place for a suspect request."""
+    """Request a target's only slot for a suspect request from its owner."""
 
     target: str
     request_id: str
@@ -25,7 +25,7 @@
 
 @message("give-suspect-place")
 class ReleaseSuspectSlot(NamedTuple):
-    """Give the place back: the suspect's attempt has ended."""
+    """Release the slot: the attempt of the suspect request has ended."""
 
     target: str
     request_id: str
--- a/hawthornlead/messages/fleets.py
+++ b/hawthornlead/messages/fleets.py
@@ -1,4 +1,4 @@
-"""Messages by which the VMs of a large fleet hear of one another through heads."""
+"""Messages that distribute the state of a large fleet's VMs through heads."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,7 @@
 
 
 class MemberState(NamedTuple):
-    """What is known of one VM: ``silent`` if its head hasn't heard it lately."""
+    """The state of one VM: ``silent`` if its head hasn't seen it recently."""
 
     vm: str
     incarnation: str
@@ -35,7 +35,7 @@
 
 
 class MemberLoads(NamedTuple):
-    """A VM, its requests on targets and its use of quotas, as it told its head."""
+    """A VM, its requests on targets and its use of quotas, as sent to its head."""
 
     state: MemberState
     loads: tuple[TargetLoad, ...]
@@ -44,13 +44,13 @@
 
 @message("group-word")
 class GroupUpdate(NamedTuple):
-    """What a head tells the other heads of the VMs that it feeds, and of itself."""
+    """The update of a head for other heads, on itself and its subscribers."""
 
     members: tuple[MemberLoads, ...]
 
 
 class TargetRunning(NamedTuple):
-    """The requests of all VMs on one start of a target."""
+    """The number of requests of all VMs on one incarnation of a target."""
 
     target: str
     running: int
@@ -59,11 +59,11 @@
 
 @message("fleet-word")
 class FleetUpdate(NamedTuple):
-    """What a head tells those that it feeds: changes of members, and all targets' load.
+    """The update of a head for its subscribers: changed members and all targets' load.
 
     The changes are those after ``since``, up to ``serial``. With ``since`` below 0
-    ``members`` are all that live. The head counts ``quotas`` with ``quota_share`` of
-    each rate, the share of all VMs that it hears.
+    ``members`` are all live ones. The head counts ``quotas`` with ``quota_share`` of
+    each rate, the share of all VMs that it has recently seen.
     """
 
     since: int
@@ -76,10 +76,11 @@
 
 @message("passed-on")
 class ForwardedMessage(NamedTuple):
-    """A message that one VM tells all others, on its way through heads.
+    """A broadcast of one VM, forwarded by heads.
 
-    The first four fields tell who sent it; ``frame`` is the message as it was encoded
-    there. It goes ``up`` to a head, and down from there.
+    The first four fields identify the original sender; ``frame`` is the message as
+    encoded there. ``leg`` is the hop: up to a head, across to other heads, or down to
+    subscribers.
     """
 
     vm: str
--- a/hawthornlead/messages/gateways.py
+++ b/hawthornlead/messages/gateways.py
@@ -1,4 +1,4 @@
-"""Messages that the VMs send one another to serve on the platform."""
+"""Messages by which gateway VMs share load, holdings, records and target states."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -10,7 +10,8 @@
 class AdapterUse(NamedTuple):
     """One VM's use of an adapter on a target.
 
-    ``running`` requests are under way; ``started`` began since the last word.
+    ``running`` requests are under way; ``started`` of them started since the last
+    announcement.
     """
 
     model: str
@@ -20,9 +21,9 @@
 
 
 class TargetLoad(NamedTuple):
-    """One VM's requests on one target, and which adapters they use there.
+    """One VM's requests on one target, and the adapters that they use.
 
-    ``started_ms`` tells the start of the target that they run at, None if unknown.
+    ``started_ms`` identifies the target's incarnation, None if unknown.
     """
 
     target: str
@@ -35,7 +36,8 @@
 class VmLoads(NamedTuple):
     """The requests that the sender has on targets; a target not named has none.
 
-    ``quotas`` is what it let through of workspaces with a quota since its last word.
+    ``quotas`` is what it admitted of workspaces with a quota since its last
+    announcement.
     """
 
     loads: tuple[TargetLoad, ...]
@@ -43,7 +45,7 @@
 
 
 class ForwardedLoads(NamedTuple):
-    """The requests that one VM has on targets, as it told a relay."""
+    """The requests that one VM has on targets, as it announced them to a head."""
 
     vm: str
     loads: tuple[TargetLoad, ...]
@@ -51,7 +53,7 @@
 
 @message("gathered-loads")
 class GatheredLoads(NamedTuple):
-    """The newest words of several VMs; each stands alone, as in ``VmLoads``."""
+    """The newest announcements of several VMs, each complete as in ``VmLoads``."""
 
     words: tuple[ForwardedLoads, ...]
 
@@ -68,8 +70,8 @@
 class HeldAdapters(NamedTuple):
     """The adapters in the slots of a target: one adapter is one entry of each field.
 
-    Each VM reads several times a second what all engines hold, and lists of plain
-    values are read in a fraction of the time that a list of records takes.
+    Each VM decodes the holdings of all engines several times a second, and lists of
+    plain values decode in a fraction of the time of a list of records.
     """
 
     models: tuple[str, ...] = ()
@@ -85,12 +87,12 @@
 
 @message("target-holdings")
 class TargetHoldings(NamedTuple):
-    """What a target holds, by the VM that alone gives it orders.
+    """What a target holds, announced by its owner.
 
-    A higher ``fence`` is a later owner; ``number`` counts one owner's words. A prompt
-    would wait ``turn_s`` for its turn there. Of the adapters that left the target it
-    still remembers the newest ``recently_kept``. All is said of the start of the target
-    that ``started_ms`` tells, None if unknown.
+    A higher ``fence`` is a later owner; ``number`` counts the announcements of one
+    owner. A prompt would wait ``turn_s`` for its turn there. Of the adapters that left
+    the target it still remembers the newest ``recently_kept``. ``started_ms``
+    identifies the target's incarnation, None if unknown.
     """
 
     target: str
@@ -105,14 +107,14 @@
 
 @message("target-released")
 class TargetReleased(NamedTuple):
-    """The sender gave a target back that it ordered under ``fence``."""
+    """The sender released a target that it owned under ``fence``."""
 
     target: str
     fence: int
 
 
 class VmHoldings(NamedTuple):
-    """What a target holds, as the VM that orders it told a relay."""
+    """What a target holds, as its owner announced it to a head."""
 
     vm: str
     holdings: TargetHoldings
@@ -120,17 +122,17 @@
 
 @message("gathered-holdings")
 class GatheredHoldings(NamedTuple):
-    """The newest words on several targets; each stands alone, as its owner told it."""
+    """The newest holdings of several targets, each as its owner announced it."""
 
     words: tuple[VmHoldings, ...]
 
 
 @message("reserve-prompt")
 class ReservePrompt(NamedTuple):
-    """Ask a target's owner when the target may read a prompt of ``tokens``.
+    """Request a turn for a prompt of ``tokens`` from a target's owner.
 
-    Nothing is reserved if that is later than in ``most_s``, nor at another start of the
-    target than ``started_ms`` tells.
+    Nothing is reserved if the turn is more than ``most_s`` away, or if the target runs
+    as another incarnation than ``started_ms`` identifies.
     """
 
     target: str
@@ -146,7 +148,7 @@
 class PromptReserved(NamedTuple):
     """Send the request in ``wait_s``; ``held`` False if its adapter isn't there.
 
-    ``reserved`` False if the wait is longer than was asked for.
+    ``reserved`` False if the wait is longer than requested.
     """
 
     wait_s: float
@@ -156,16 +158,16 @@
 
 @message("yield-target")
 class YieldTarget(NamedTuple):
-    """Ask a VM to order a target no more; its reply says that it doesn't."""
+    """Request that a VM releases a target; the reply confirms that it has."""
 
     target: str
 
 
 @message("adapter-missing")
 class AdapterMissing(NamedTuple):
-    """Tell a target's owner that the target refused a request for this adapter.
+    """Notify a target's owner that the target refused a request for this adapter.
 
-    ``started_ms`` tells the start of the target that refused, None if unknown.
+    ``started_ms`` identifies the incarnation that refused, None if unknown.
     """
 
     target: str
@@ -176,7 +178,7 @@
 
 @message("request-ended")
 class RequestEnded(NamedTuple):
-    """Tell a target's owner that a request which had its turn there has ended.
+    """Notify a target's owner that a request which had its turn there has ended.
 
     ``running`` requests of the sender still use the adapter at the target.
     """
@@ -190,12 +192,12 @@
 
 @message("load-adapter")
 class LoadAdapter(NamedTuple):
-    """Ask a target's owner to load an adapter; version 0 is any that is there.
+    """Request that a target's owner loads an adapter; version 0 is any that is there.
 
-    Where no slot is free the owner waits ``slot_wait_s`` for one. Who waits is served
-    by ``rank``, and in time if its slot comes within ``due_s``. The reply is
+    If no slot is free, the owner waits ``slot_wait_s`` for one. Waiting requests are
+    served by ``rank``, and in time if a slot is free within ``due_s``. The reply is
     ``AdapterLoaded``, or ``Failed`` when it can't be loaded soon, or when
-    ``started_ms`` tells another start of the target than the owner orders.
+    ``started_ms`` identifies another incarnation than the owner orders.
     """
 
     target: str
@@ -217,9 +219,9 @@
 
 
 class RelayedRecord(NamedTuple):
-    """One object of the store as a relay saw it, as JSON; none if it was deleted.
+    """One object of the store as a relay saw it, as JSON; empty if it was deleted.
 
-    A long one is ``packed``: deflated, as a zlib stream.
+    A long one is ``packed``, a zlib stream.
     """
 
     name: str
@@ -229,17 +231,17 @@
 
     @property
     def size(self) -> int:
-        """The bytes that it takes in a message."""
+        """The number of bytes that it takes in a message."""
         return len(self.body) + len(self.packed)
 
 
 @message("relayed-changes")
 class RelayedChanges(NamedTuple):
-    """All changes of note of one kind after a revision of the store, up to another.
+    """All effective changes of one kind after a revision of the store, up to another.
 
     A relay saw them on its own watch. With ``names``, those of all objects at
-    ``until``, it has listed the kind: what isn't among them is gone, and what was at
-    the revision ``compared_at`` as it is at ``until`` isn't told.
+    ``until``, it has listed the kind: other objects are gone, and objects that are the
+    same at ``until`` as at the revision ``compared_at`` are left out.
     """
 
     kind: str
@@ -252,7 +254,7 @@
 
 @message("fetch-records")
 class FetchRecords(NamedTuple):
-    """Ask a VM for what it knows of a kind of the store's objects, after a name.
+    """Request the store's objects of a kind that a VM knows, after a name.
 
     Objects that haven't changed after the revision ``since`` are only named.
     """
@@ -264,10 +266,10 @@
 
 @message("fetched-records")
 class FetchedRecords(NamedTuple):
-    """What the sender knows of a kind, by name; ``more`` if names come after these.
+    """Objects of a kind that the sender knows, by name; ``more`` if others follow.
 
-    ``known`` is False if the sender has never listed the kind itself. It lacks no
-    change of up to the revision ``until``, -1 if it can't say or send all objects.
+    ``known`` is False if the sender has never listed the kind. It lacks no change up to
+    the revision ``until``, -1 if that is unknown or it can't send all objects.
     """
 
     known: bool
@@ -278,9 +280,9 @@
 
 
 class RelayedKind(NamedTuple):
-    """A kind that a relay watches: nothing of note changed after ``since``.
+    """A kind that a relay watches: there was no effective change after ``since``.
 
-    Up to the revision ``until`` the relay has passed on all that it saw.
+    The relay has forwarded all changes up to the revision ``until``.
     """
 
     kind: str
@@ -290,7 +292,7 @@
 
 @message("target-leaves")
 class TargetLeaves(NamedTuple):
-    """A target said in an answer that it leaves, and takes no new work."""
+    """A target stated in an answer that it is leaving, and accepts no new requests."""
 
     target: str
     started_ms: int | None = None
@@ -298,9 +300,9 @@
 
 @message("target-limit")
 class TargetLimit(NamedTuple):
-    """How many requests a second a target takes from all VMs together.
+    """How many requests a second a target accepts from all VMs together.
 
-    ``per_s`` None says that it names no limit any more.
+    ``per_s`` None means that it no longer states a limit.
     """
 
     target: str
@@ -310,6 +312,6 @@
 
 @message("relayed-until")
 class RelayHeartbeat(NamedTuple):
-    """The kinds whose watches a relay vouches for: what it saw, it has passed on."""
+    """The kinds that a relay confirms up to date: it has forwarded all it saw."""
 
     kinds: tuple[RelayedKind, ...]
--- a/hawthornlead/messages/leases.py
+++ b/hawthornlead/messages/leases.py
@@ -7,7 +7,7 @@
 
 @message("renew-lease")
 class RenewLease(NamedTuple):
-    """Ask the data centre's aggregator to renew the sender's lease."""
+    """Request that the data centre's aggregator renews the sender's lease."""
 
     vm: str
     incarnation: str
--- a/hawthornlead/messages/loads.py
+++ b/hawthornlead/messages/loads.py
@@ -7,9 +7,9 @@
 
 @message("acquire-load")
 class AcquireLoad(NamedTuple):
-    """Ask the holder of a load allowance for leave to start one load.
+    """Request a permit to start one load from the holder of a load allowance.
 
-    ``waiting`` counts the requests that wait for it, 0 for a load ahead.
+    ``waiting`` counts the requests that wait for it, 0 for a preload.
     """
 
     weight_store: str
@@ -23,7 +23,7 @@
 
 @message("load-permit")
 class LoadPermit(NamedTuple):
-    """Leave to start one load within ``start_within_s`` of the asking."""
+    """A permit to start one load within ``start_within_s`` of the request."""
 
     permit_id: str
     start_within_s: float
@@ -31,7 +31,7 @@
 
 @message("release-load")
 class ReleaseLoad(NamedTuple):
-    """The load of a permit has ended, well or not."""
+    """The load of a permit has ended, successfully or not."""
 
     weight_store: str
     permit_id: str
--- a/hawthornlead/messages/popularities.py
+++ b/hawthornlead/messages/popularities.py
@@ -6,7 +6,7 @@
 
 
 class AdapterCount(NamedTuple):
-    """How many requests for an adapter a VM has admitted since it last told."""
+    """How many requests for an adapter a VM has admitted since its last message."""
 
     adapter: str
     count: int
@@ -14,9 +14,9 @@
 
 @message("popularity-counts")
 class PopularityCounts(NamedTuple):
-    """What a VM has counted since it last told; ``serial`` counts its messages.
+    """What a VM has counted since its last message; ``serial`` counts its messages.
 
-    Adapters that don't fit are told later. A receiver takes each serial once.
+    Adapters that don't fit are sent later. A receiver applies each serial once.
     """
 
     serial: int
--- a/hawthornlead/messages/quotas.py
+++ b/hawthornlead/messages/quotas.py
@@ -1,10 +1,10 @@
-"""What VMs tell one another of the quotas of workspaces, within other messages."""
+"""The use and state of workspaces' quotas, as parts of other messages."""
 
 from typing import NamedTuple
 
 
 class QuotaUse(NamedTuple):
-    """What one VM was asked for and let through since its last word."""
+    """The demand that one VM received and admitted since its last announcement."""
 
     workspace: str
     asked: float
@@ -12,7 +12,7 @@
 
 
 class QuotaState(NamedTuple):
-    """What a head counts over all VMs: the credit left, and what is asked a second."""
+    """The count of a head over all VMs: remaining credit, and demand per second."""
 
     workspace: str
     credit: float
--- a/hawthornlead/messages/sessions.py
+++ b/hawthornlead/messages/sessions.py
@@ -18,7 +18,7 @@
 
 @message("challenge")
 class Challenge(NamedTuple):
-    """Ask the other end to prove that it knows the shared secret."""
+    """Challenge the other end to prove that it knows the shared secret."""
 
     nonce: bytes
 
@@ -64,4 +64,4 @@
 
 @message("done")
 class Done(NamedTuple):
-    """The reply to a call that has nothing to tell but that it was carried out."""
+    """The reply to a call that was carried out and returns nothing."""
--- a/hawthornlead/messages/targets.py
+++ b/hawthornlead/messages/targets.py
@@ -1,4 +1,4 @@
-"""Messages of targets: their state as owners tell it, and grants to run there."""
+"""Messages of targets: their state as reported by owners, and grants to run there."""
 
 from typing import NamedTuple
 
@@ -16,7 +16,7 @@
 
 @message("target-state")
 class TargetState(NamedTuple):
-    """What an owner tells of one of its targets; the newest ``serial`` wins."""
+    """The state of a target, reported by its owner; the newest ``serial`` wins."""
 
     target: str
     fence: int
@@ -31,12 +31,12 @@
 
 @message("acquire-grant")
 class AcquireGrant(NamedTuple):
-    """Ask a target's owner for the right to run an adapter version there.
+    """Request a grant to run an adapter version from a target's owner.
 
-    The owner loads it first where it must and can before ``wait_s`` is over.
-    ``load`` False asks only for what is already resident. ``prefetch`` says that no
-    request waits: the adapter is loaded if that costs nobody anything. The owner
-    refuses after ``slot_wait_s`` in which no slot could be freed.
+    The owner loads it first if needed, and if that is possible within ``wait_s``.
+    ``load`` False requests only what is already resident. ``ahead`` means that no
+    request waits: the adapter is loaded if that displaces nothing. The owner refuses
+    after ``slot_wait_s`` in which no slot could be freed.
     """
 
     target: str
@@ -53,7 +53,7 @@
 
 @message("grant")
 class GrantReply(NamedTuple):
-    """A grant: up to ``count`` requests at a time, for ``ttl_s`` from the asking."""
+    """A grant: up to ``count`` requests at a time, for ``ttl_s`` from the request."""
 
     grant_id: str
     fence: int
@@ -64,9 +64,9 @@
 
 @message("renew-grants")
 class RenewGrants(NamedTuple):
-    """Ask an owner to extend grants that still have running requests.
+    """Request that an owner extends grants that still have running requests.
 
-    ``begun`` tells for each grant how many requests began since it was last told.
+    ``begun`` is for each grant the number of requests started since it was last sent.
     """
 
     target: str
@@ -76,7 +76,7 @@
 
 @message("renewed-grants")
 class RenewedGrants(NamedTuple):
-    """The grants that were extended; one not named ends at its old time."""
+    """The grants that were extended; one not named expires at its old time."""
 
     grant_ids: tuple[str, ...]
     ttl_s: float
@@ -84,7 +84,7 @@
 
 @message("release-grant")
 class ReleaseGrant(NamedTuple):
-    """Give a grant back: nothing runs under it and nothing will."""
+    """Release a grant: nothing runs under it and nothing will."""
 
     target: str
     grant_id: str
@@ -93,7 +93,7 @@
 
 @message("revoke-grant")
 class RevokeGrant(NamedTuple):
-    """An owner asks for a grant back: start nothing new, release it when idle."""
+    """An owner revokes a grant: start nothing new, release it when idle."""
 
     target: str
     grant_id: str
@@ -101,7 +101,7 @@
 
 @message("target-suspect")
 class TargetSuspect(NamedTuple):
-    """Tell an owner that a target failed a request, so that it probes it."""
+    """Notify an owner that a target failed a request, so that it probes the target."""
 
     target: str
     boot_id: str
--- a/hawthornlead/messages/timelines.py
+++ b/hawthornlead/messages/timelines.py
@@ -1,4 +1,4 @@
-"""Messages that collect the time line of events."""
+"""Messages that collect the timeline of events."""
 
 from typing import NamedTuple
 
@@ -18,7 +18,7 @@
 
 @message("collect-events")
 class CollectEvents(NamedTuple):
-    """Ask a VM for its newest events; an empty filter matches all."""
+    """Request a VM's newest events; an empty filter matches all."""
 
     subject: str
     limit: int
