--- a/hawthornlead/decisions/__init__.py
+++ b/hawthornlead/decisions/__init__.py
@@ -1,6 +1,6 @@
 """Decisions that need no network: admission, routing, placement, eviction, retries.
 
-Each works on beliefs that it is handed, so that tests and the bench play it alone.
+Each works on observed state passed to it, so that tests and the bench can run it alone.
 
 May import: the common modules, bundles.
 """
--- a/hawthornlead/decisions/evictions.py
+++ b/hawthornlead/decisions/evictions.py
@@ -1,8 +1,8 @@
-"""Eviction: which idle resident of a target makes room for a load.
+"""Eviction: which idle resident of a target is evicted for a load.
 
-Strategies are entered in ``EVICTIONS`` by the ``eviction`` decorator and chosen by
-the setting ``EVICTION``. The owner of a target hands in only residents that it may
-evict safely; a strategy only prefers.
+Strategies are registered in ``EVICTIONS`` by the ``eviction`` decorator and selected by
+the setting ``EVICTION``. The owner of a target passes only residents that it may evict
+safely, and a strategy only chooses among them.
 """
 
 from collections.abc import Callable, Sequence
@@ -30,15 +30,15 @@
     ) -> Resident | None:
         """Return the resident to evict, or None when there is none.
 
-        ``copies`` tells how many other targets hold the same adapter version; an
-        owner that doesn't know leaves it out.
+        ``copies`` returns how many other targets hold the same adapter version; an
+        owner that doesn't know omits it.
         """
         raise NotImplementedError
 
 
 @eviction("lru")
 class LruEviction(Eviction):
-    """Baseline: the resident that was asked for longest ago."""
+    """Baseline: the resident whose last request is the oldest."""
 
     def choose(self, residents, popularity, now, copies=None):
         """Return the least recently used resident."""
@@ -51,12 +51,12 @@
 
 @eviction("popularity")
 class PopularityEviction(Eviction):
-    """The resident whose loss is expected to cost least.
+    """The resident whose eviction has the lowest expected cost.
 
-    The expected cost of an eviction is the rate at which the adapter is asked for
-    (each request would wait for a reload), times ``COPY_DISCOUNT`` when another
-    target still holds it: then its requests need no reload. A version that is no
-    longer asked for decays to nothing and goes first.
+    The expected cost is the adapter's request rate, since each request would wait for a
+    reload. It is multiplied by ``COPY_DISCOUNT`` if another target still holds the
+    adapter, because its requests then need no reload. A version that is no longer
+    requested decays to a rate of nothing and is evicted first.
     """
 
     def choose(self, residents, popularity, now, copies=None):
--- a/hawthornlead/decisions/limits.py
+++ b/hawthornlead/decisions/limits.py
@@ -1,7 +1,7 @@
-"""Admission: each caller's rate and concurrency, then a VM's room by priority.
+"""Admission by each caller's rate and concurrency, then by priority and VM capacity.
 
 A request is refused before anything is done for it, with the time after which to
-come back::
+retry::
 
     admitted = admissions.admit(caller, priority)
     if admitted.is_ok():
@@ -10,8 +10,8 @@
         finally:
             admitted.ok_value.release()
 
-Limits hold for each VM: a caller that spreads its requests over several entry VMs
-gets its rate at each of them.
+Limits apply to each VM separately: a caller that spreads its requests over several
+entry VMs gets its rate at each of them.
 """
 
 from collections import OrderedDict
@@ -22,8 +22,8 @@
 from ..errors import ErrorKind, Failure
 
 HIGHEST_PRIORITY = 9
-LOWEST_SHARE = 0.55
-MAX_IDLE_CALLERS = 4096
+MIN_OPEN_SHARE = 0.55
+MAX_CALLERS = 4096
 CONCURRENCY_RETRY_S = 0.5
 OVERLOAD_RETRY_S = 1.0
 
@@ -31,12 +31,12 @@
 def open_share(priority: int) -> float:
     """Return the share of ``MAX_OPEN_REQUESTS`` that a priority may fill.
 
-    From 0.55 for priority 0 by 0.05 a step to 1 for priority 9, the highest. As a
-    VM fills, the lowest priorities are refused first, while there is still room
-    for the others.
+    It grows by 0.05 a step from 0.55 for priority 0 to 1 for priority 9, the highest.
+    As a VM fills, the lowest priorities are refused first, while there is still
+    capacity for the others.
     """
     bounded = min(max(priority, 0), HIGHEST_PRIORITY)
-    return LOWEST_SHARE + (1 - LOWEST_SHARE) * bounded / HIGHEST_PRIORITY
+    return MIN_OPEN_SHARE + (1 - MIN_OPEN_SHARE) * bounded / HIGHEST_PRIORITY
 
 
 class TokenBucket:
@@ -50,7 +50,7 @@
         self._filled_at = now
 
     def acquire(self, rate: float, burst: float, now: float) -> float:
-        """Take one token; return 0, or the seconds until there will be one."""
+        """Acquire one token; return 0, or the seconds until one is available."""
         self._fill(rate, burst, now)
         if self._tokens >= 1:
             self._tokens -= 1
@@ -58,7 +58,7 @@
         return (1 - self._tokens) / rate if rate > 0 else float("inf")
 
     def refund(self) -> None:
-        """Return a token whose request was refused for another reason."""
+        """Refund the token of a request that was refused for another reason."""
         self._tokens += 1
 
     def _fill(self, rate: float, burst: float, now: float) -> None:
@@ -68,7 +68,7 @@
 
 
 class _CallerState:
-    """What is counted of one caller."""
+    """The rate limit and open requests of one caller."""
 
     def __init__(self, burst: float, now: float):
         self.bucket = TokenBucket(max(1.0, burst), now)
@@ -84,7 +84,7 @@
         self._released = False
 
     def release(self) -> None:
-        """Give the request's place back."""
+        """Release the request's capacity."""
         if self._released:
             return
         self._released = True
@@ -93,7 +93,7 @@
 
 
 class Admissions:
-    """Decides which requests this VM takes."""
+    """Decides which requests this VM admits."""
 
     def __init__(self, *, settings, timers, rng):
         self._settings = settings
@@ -108,10 +108,10 @@
         return self._open
 
     def admit(self, caller: CallerTerms, priority: int) -> Result[Admission, Failure]:
-        """Admit a request, or say why not and when to come back.
+        """Admit a request, or fail with the reason and a retry time.
 
-        The caller's own limits are looked at first, so that one over its limit is
-        told so and costs the others nothing.
+        The caller's own limits are checked first, so that a caller over its limit
+        learns that and costs the others nothing.
         """
         state = self._state_of(caller)
         if state.open >= caller.concurrency:
@@ -121,10 +121,10 @@
         if wait_s > 0:
             detail = f"{caller.name} is over its rate of {caller.rate:g} a second"
             return self._limited(detail, wait_s)
-        most = int(self._settings["MAX_OPEN_REQUESTS"] * open_share(priority))
-        if self._open >= max(1, most):
+        max_open = int(self._settings["MAX_OPEN_REQUESTS"] * open_share(priority))
+        if self._open >= max(1, max_open):
             state.bucket.refund()
-            # Spread, so that all who are refused don't come back at once.
+            # Random, so that refused callers don't all retry at once.
             wait_s = OVERLOAD_RETRY_S * self._rng.uniform(0.5, 1.5)
             detail = f"no room for priority {priority}: {self._open} requests open"
             return Err(Failure(ErrorKind.OVERLOADED, detail, wait_s))
@@ -140,13 +140,13 @@
         if state is None:
             state = _CallerState(caller.burst, self._timers.now())
             self._callers[caller.name] = state
-            self._forget_idle()
+            self._evict_idle()
         self._callers.move_to_end(caller.name)
         return state
 
-    def _forget_idle(self) -> None:
-        """Bound the memory: forget the callers that have been idle the longest."""
-        if len(self._callers) <= MAX_IDLE_CALLERS:
+    def _evict_idle(self) -> None:
+        """Bound the memory by evicting the caller that has been idle the longest."""
+        if len(self._callers) <= MAX_CALLERS:
             return
         for name, state in self._callers.items():
             if state.open == 0:
--- a/hawthornlead/decisions/placements.py
+++ b/hawthornlead/decisions/placements.py
@@ -1,8 +1,8 @@
 """Placement: on which target an adapter that needs a slot is loaded.
 
-Strategies are entered in ``PLACEMENTS`` by the ``placement`` decorator and chosen
-by the setting ``PLACEMENT``. They read what owners told of their targets, which
-may be some time old; the owner decides in the end.
+Strategies are registered in ``PLACEMENTS`` by the ``placement`` decorator and selected
+by the setting ``PLACEMENT``. They read the announced states of targets, which may be
+some time old; a target's owner makes the final decision.
 """
 
 import math
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from ..bundles.bundles import Assignment
 
-# Above any rate, so that a target without a slot to give comes after all others.
+# Above any rate, so that targets without an available slot come last.
 NO_SLOT_PRICE = 1e6
 
 PLACEMENTS: Registry[type["Placement"]] = Registry("placement")
@@ -80,10 +80,10 @@
         popularity: Popularity,
         now: float,
     ) -> str | None:
-        """Return a target for one more copy, loaded while no request waits for it.
+        """Return a target for one more copy, to be loaded ahead of requests.
 
-        None when the adapter has copies enough. The caller of this asks that
-        target's owner for a grant with ``load`` and gives it back.
+        None if the adapter has enough copies. The caller requests a grant with ``load``
+        from that target's owner and releases it.
         """
         return None
 
@@ -114,17 +114,17 @@
 
 @placement("spread")
 class SpreadPlacement(Placement):
-    """Where the load pushes out least, among a few targets of the rendezvous order.
+    """The cheapest slot among the first targets of the rendezvous order.
 
-    All VMs compute the same few targets (``CHOICES``) for an adapter, so two VMs
-    that miss at the same moment mostly meet on one load, while different adapters
-    don't all run for the one target that looks best. Among these the price is what
-    the slot costs, the rate of the least popular idle resident, weighed by
-    ``STALL_WEIGHT``, and what the work already there costs, by ``LOAD_WEIGHT``.
+    All VMs compute the same few targets (``CHOICES``) for an adapter. So two VMs that
+    miss it at the same moment mostly choose the same target and share one load, while
+    different adapters don't all go to the one target that looks best. The price of a
+    target is the rate of its least popular idle resident, which would be evicted,
+    weighted by ``STALL_WEIGHT``, plus its work weighted by ``LOAD_WEIGHT``.
     """
 
     def choose(self, assignment, views, popularity, now):
-        """Return the chosen few by price, then the rest in rendezvous order."""
+        """Return the first ``CHOICES`` targets by price, then the rest in order."""
         usable = {view.target: view for view in usable_views(assignment, views)}
         order = rendezvous(assignment.adapter, usable)
         few = order[: self._settings["CHOICES"]]
@@ -132,12 +132,12 @@
         return few + order[self._settings["CHOICES"] :]
 
     def choose_hot_copy(self, assignment, views, popularity, now):
-        """Return a target for one more copy when the rate asks for more copies."""
+        """Return a target for one more copy if the rate requires more copies."""
         usable = usable_views(assignment, views)
         copies = [view for view in usable if holds(view, assignment)]
         rate = popularity.rate(assignment.adapter, now)
-        wanted = math.ceil(rate / self._settings["COPY_RATE"])
-        if not copies or len(copies) >= min(wanted, len(usable)):
+        required = math.ceil(rate / self._settings["COPY_RATE"])
+        if not copies or len(copies) >= min(required, len(usable)):
             return None
         free = [view for view in usable if not holds(view, assignment)]
         names = self.choose(assignment, free, popularity, now)
@@ -152,10 +152,10 @@
 
 
 def slot_price(view: TargetView, popularity: Popularity, now: float) -> float:
-    """Return the rate of the resident that one more load would push out.
+    """Return the rate of the resident that one more load would evict.
 
-    0 with a free slot. Loads that wait push out the cheapest ones first; when they
-    and running requests leave none, ``NO_SLOT_PRICE`` for each load too many.
+    It is 0 with a free slot. Waiting loads evict the cheapest residents first. If they
+    and running requests leave none, it is ``NO_SLOT_PRICE`` for each excess load.
     """
     missing = len(view.state.residents) + 1 - view.state.slots
     if missing <= 0:
--- a/hawthornlead/decisions/popularities.py
+++ b/hawthornlead/decisions/popularities.py
@@ -1,4 +1,4 @@
-"""Popularity: how often each adapter has been asked for lately.
+"""Popularity: how often each adapter has been requested recently.
 
 Strategies are entered in ``POPULARITIES`` by the ``popularity`` decorator and
 chosen by the setting ``POPULARITY``::
@@ -7,9 +7,9 @@
     counters.observe("tides-12", now=timers.now())
     counters.rate("tides-12", now=timers.now())
 
-A VM keeps one for the requests that it admits, which its router and placement
-read, and one for the grants that it hands out as an owner, which the eviction
-reads. Rates are of what this VM saw. ``share`` scales them to the whole system.
+A VM keeps one for the requests that it admits, read by its router and placement, and
+one for the grants that it issues as an owner, read by the eviction. Rates are of what
+this VM sees, and ``share`` scales them to the whole system.
 """
 
 import math
@@ -19,10 +19,10 @@
 POPULARITIES: Registry[type["Popularity"]] = Registry("popularity")
 popularity = POPULARITIES.register
 
-# A rate below this (requests a second) is as good as none: about one request a day.
-FORGOTTEN_RATE = 1e-5
-# Counters are looked through for forgotten ones after this many observations.
-FORGET_EVERY = 4096
+# A rate below this (requests a second) counts as none: about one request a day.
+MIN_RATE = 1e-5
+# Decayed counters are removed after this many observations.
+EXPIRE_INTERVAL = 4096
 
 
 class Popularity:
@@ -54,17 +54,17 @@
 
 
 class HighestPopularity(Popularity):
-    """The higher of two rates: what this VM counts itself, and what it was told.
+    """The higher of two rates: counted by this VM, and announced by all VMs.
 
-    An owner counts the grants on its targets at once but knows nothing of an
-    adapter's requests elsewhere; what VMs tell of their requests covers all and comes
+    An owner counts the grants on its targets at once but doesn't see an adapter's
+    requests elsewhere. The counts that VMs announce cover all requests but arrive
     seconds late. Only the first counts what is observed here.
     """
 
-    def __init__(self, own: Popularity, told: Popularity):
+    def __init__(self, own: Popularity, announced: Popularity):
         super().__init__(settings={})
         self._own = own
-        self._told = told
+        self._announced = announced
 
     def observe(self, adapter: str, now: float, count: int = 1) -> None:
         """Count ``count`` requests for ``adapter`` at ``now`` (seconds)."""
@@ -72,7 +72,7 @@
 
     def rate(self, adapter: str, now: float) -> float:
         """Return the requests a second for ``adapter``, older ones counting less."""
-        return max(self._own.rate(adapter, now), self._told.rate(adapter, now))
+        return max(self._own.rate(adapter, now), self._announced.rate(adapter, now))
 
     def seen_at(self, adapter: str) -> float:
         """Return when ``adapter`` was last observed here, ``-inf`` when never."""
@@ -92,12 +92,12 @@
 
 @popularity("decayed")
 class DecayedCounters(Popularity):
-    """Two exact, exponentially decayed counters for each adapter asked for lately.
+    """Two exact, exponentially decayed counters for each recently requested adapter.
 
-    The slow counter (``SLOW_HALF_LIFE_S``) knows the steady popularity. The fast
-    one (``FAST_HALF_LIFE_S``) follows a sudden shift: a burst of requests raises
-    the rate within seconds. The rate is their mean, weighed by ``FAST_WEIGHT``,
-    which is low enough that a one-off request doesn't look hot.
+    The slow counter (``SLOW_HALF_LIFE_S``) measures steady popularity. The fast one
+    (``FAST_HALF_LIFE_S``) follows sudden shifts: a burst of requests raises the rate
+    within seconds. The rate is their mean weighted by ``FAST_WEIGHT``, which is low
+    enough that a single request doesn't look like high popularity.
     """
 
     def __init__(self, *, settings: dict):
@@ -105,7 +105,7 @@
         self._fast_decay = math.log(2) / settings["FAST_HALF_LIFE_S"]
         self._slow_decay = math.log(2) / settings["SLOW_HALF_LIFE_S"]
         self._counters: dict[str, _Counter] = {}
-        self._until_forget = FORGET_EVERY
+        self._until_expire = EXPIRE_INTERVAL
 
     def __len__(self) -> int:
         return len(self._counters)
@@ -119,9 +119,9 @@
         counter.fast = counter.fast * math.exp(-self._fast_decay * age) + count
         counter.slow = counter.slow * math.exp(-self._slow_decay * age) + count
         counter.at = max(counter.at, now)
-        self._until_forget -= 1
-        if self._until_forget <= 0:
-            self._forget(now)
+        self._until_expire -= 1
+        if self._until_expire <= 0:
+            self._expire(now)
 
     def rate(self, adapter: str, now: float) -> float:
         """Return the requests a second for ``adapter``, older ones counting less."""
@@ -143,9 +143,9 @@
         steady = (1 - weight) * slow * self._slow_decay
         return steady + weight * fast * self._fast_decay
 
-    def _forget(self, now: float) -> None:
-        """Drop counters that have decayed to nothing, so that memory is bounded."""
-        self._until_forget = max(FORGET_EVERY, len(self._counters))
+    def _expire(self, now: float) -> None:
+        """Remove fully decayed counters, so that memory is bounded."""
+        self._until_expire = max(EXPIRE_INTERVAL, len(self._counters))
         for adapter, counter in list(self._counters.items()):
-            if self._rate(counter, now) < FORGOTTEN_RATE:
+            if self._rate(counter, now) < MIN_RATE:
                 del self._counters[adapter]
--- a/hawthornlead/decisions/popularity_exchanges.py
+++ b/hawthornlead/decisions/popularity_exchanges.py
@@ -1,23 +1,23 @@
-"""Popularity counts that VMs tell one another, so that each knows the whole system.
+"""Exchange of popularity counts between VMs, so that each VM knows the whole system.
 
-A VM sees only the requests that callers send to it. With counts of its own alone an
-adapter that is asked for every ten seconds shows up at one of nine VMs every ninety,
-too seldom to be told from a one-off. So each VM tells the others what it has counted
-since it last told, its most asked-for adapters first::
+A VM sees only the requests that callers send to it. From its own counts alone, an
+adapter requested every ten seconds shows up at one of nine VMs every ninety seconds,
+too rarely to be distinguished from a single request. So each VM periodically announces
+what it has counted since its last announcement, the most requested adapters first::
 
-    shares = PopularityExchange(..., mesh=mesh, members=members, popularity=counts)
-    shares.observe("tides-12")        # a request admitted here
+    exchange = PopularityExchange(..., mesh=mesh, members=members, popularity=counts)
+    exchange.observe("tides-12")      # a request admitted here
     counts.rate("tides-12", now)      # of the whole system
 
 **Bounds.** A message holds at most ``MESSAGE_BYTES`` and a VM sends at most
 ``SEND_BYTES_PER_S`` of them altogether: with more VMs they go out less often, down to
-one in ``MAX_INTERVAL_S``, and then get smaller. What does not fit is sent later,
-of at most ``MAX_WAITING`` adapters.
+one in ``MAX_INTERVAL_S``, and then get smaller. Counts that do not fit are sent later.
+They are kept for at most ``MAX_WAITING`` adapters.
 
 **Faults.** Counts are differences with a serial number for each process of a sender.
-A lost message costs its counts, never more; one that comes twice is dropped; a sender
-that restarts begins anew with another incarnation. Counts only steer choices: nothing
-that must hold rests on them.
+A lost message loses its counts and nothing else, a duplicate is ignored, and a sender
+that restarts counts again under another incarnation. Counts only guide choices: no
+invariant depends on them.
 """
 
 import random
@@ -35,13 +35,13 @@
 MESSAGE_OVERHEAD = 64
 COUNT_OVERHEAD = 8
 MAX_WAITING = 4096
-# A VM counts as heard while its last counts are at most this many pauses old.
+# A VM counts as seen while its last counts are at most this many intervals old.
 MAX_MISSED_INTERVALS = 3.0
 MAX_COUNT = 1_000_000
 
 
 class Pace(NamedTuple):
-    """How often counts are told, and how many bytes of them at most."""
+    """How often counts are sent, and the maximum bytes of a message."""
 
     interval_s: float
     message_bytes: int
@@ -50,18 +50,18 @@
 def pace(receivers: int) -> Pace:
     """Return the pace for a number of receivers, within ``SEND_BYTES_PER_S``.
 
-    With 8 receivers 512 bytes or more go out every 2 s, with 369 they are 332
-    bytes every 30 s.
+    For 8 receivers it is 512 bytes or more every 2 s, for 369 receivers 332 bytes
+    every 30 s.
     """
     receivers = max(1, receivers)
-    pause = receivers * MESSAGE_BYTES / SEND_BYTES_PER_S
-    pause = min(max(pause, MIN_INTERVAL_S), MAX_INTERVAL_S)
-    size = int(SEND_BYTES_PER_S * pause / receivers)
-    return Pace(pause, min(size, MESSAGE_BYTES))
+    interval = receivers * MESSAGE_BYTES / SEND_BYTES_PER_S
+    interval = min(max(interval, MIN_INTERVAL_S), MAX_INTERVAL_S)
+    size = int(SEND_BYTES_PER_S * interval / receivers)
+    return Pace(interval, min(size, MESSAGE_BYTES))
 
 
 class PendingCounts:
-    """Counts of requests that other VMs were not told of yet."""
+    """Counts of requests that have not been sent to other VMs yet."""
 
     def __init__(self):
         self._counts: dict[str, int] = {}
@@ -73,12 +73,12 @@
         """Count one request."""
         self._counts[adapter] = self._counts.get(adapter, 0) + 1
         if len(self._counts) > MAX_WAITING:
-            # A flood of one-offs must not fill the memory: halve, the least go.
+            # Many single requests must not fill the memory: drop the smallest half.
             ranked = self._ranked()
             self._counts = dict(ranked[: MAX_WAITING // 2])
 
     def pop_largest(self, size: int) -> tuple[AdapterCount, ...]:
-        """Take the greatest counts out, as many as fit in ``size`` bytes."""
+        """Remove and return the largest counts, as many as fit in ``size`` bytes."""
         taken = []
         left = size - MESSAGE_OVERHEAD
         for adapter, count in self._ranked():
@@ -90,18 +90,18 @@
         return tuple(taken)
 
     def _ranked(self) -> list[tuple[str, int]]:
-        # Of equal counts the older go first: a dict keeps the order of arrival.
+        # Of equal counts the older come first, since a dict keeps insertion order.
         return sorted(self._counts.items(), key=lambda item: -item[1])
 
 
-class _Heard(NamedTuple):
+class _Received(NamedTuple):
     incarnation: str
     serial: int
     at: float
 
 
 class PopularityExchange:
-    """Tells this VM's counts and takes in those of the others."""
+    """Sends this VM's counts to the other VMs, and adds their counts to its own."""
 
     def __init__(
         self,
@@ -119,8 +119,8 @@
         self._mesh = mesh
         self._members = members
         self._popularity = popularity
-        self._waiting = PendingCounts()
-        self._heard: dict[str, _Heard] = {}
+        self._pending = PendingCounts()
+        self._received: dict[str, _Received] = {}
         self._serial = 0
         self._due_at = 0.0
         self._timer = None
@@ -130,7 +130,7 @@
         return self._settings["VM_NAME"]
 
     def start(self) -> None:
-        """Tell and listen from now on."""
+        """Start to send and receive counts."""
         self._mesh.on(PopularityCounts, self._on_counts)
         self._due_at = self._timers.now() + self._rng.random() * MIN_INTERVAL_S
         self._timer = self._timers.every(
@@ -138,52 +138,52 @@
         )
 
     async def stop(self) -> None:
-        """Tell nothing more."""
+        """Stop sending counts."""
         if self._timer is not None:
             self._timer.cancel()
 
     def observe(self, adapter: str) -> None:
         """Count a request that this VM has admitted."""
         self._popularity.observe(adapter, self._timers.now())
-        self._waiting.add(adapter)
+        self._pending.add(adapter)
 
     def announce_due(self) -> None:
-        """Tell the others what is due, and work out the share that is seen."""
+        """Send counts to the others if due, and update the share that is seen."""
         now = self._timers.now()
         others = [vm for vm in self._members.live_vms() if vm != self._vm]
         current = pace(len(others))
-        self._note_share(others, now, current)
+        self._update_share(others, now, current)
         if now < self._due_at or not others:
             return
-        # Told also without news: a VM that is silent counts as one not heard.
+        # Sent even without new counts, because a silent VM counts as not seen.
         self._due_at = now + current.interval_s
         self._serial += 1
-        counts = self._waiting.pop_largest(current.message_bytes)
+        counts = self._pending.pop_largest(current.message_bytes)
         self._mesh.broadcast(PopularityCounts(self._serial, counts))
 
-    def _note_share(self, others: list[str], now: float, current: Pace) -> None:
-        """Scale rates up by the VMs whose counts don't come.
+    def _update_share(self, others: list[str], now: float, current: Pace) -> None:
+        """Scale rates up for the VMs whose counts don't arrive.
 
-        Without it a VM that is cut from half of the others would believe that
-        everything is asked for half as often.
+        Otherwise a VM partitioned from half of the others would halve the rates of all
+        adapters.
         """
         since = now - MAX_MISSED_INTERVALS * current.interval_s
-        heard = 0
+        seen_vms = 0
         for vm in others:
-            told = self._heard.get(vm)
-            heard += told is not None and told.at >= since
-        for vm in self._heard.keys() - set(others):
-            if self._heard[vm].at < now - MAX_MISSED_INTERVALS * MAX_INTERVAL_S:
-                del self._heard[vm]
-        self._popularity.share = (heard + 1) / (len(others) + 1)
+            received = self._received.get(vm)
+            seen_vms += received is not None and received.at >= since
+        for vm in self._received.keys() - set(others):
+            if self._received[vm].at < now - MAX_MISSED_INTERVALS * MAX_INTERVAL_S:
+                del self._received[vm]
+        self._popularity.share = (seen_vms + 1) / (len(others) + 1)
 
     async def _on_counts(self, sender, message: PopularityCounts) -> None:
         now = self._timers.now()
-        known = self._heard.get(sender.vm)
+        known = self._received.get(sender.vm)
         same = known is not None and known.incarnation == sender.incarnation
         if same and message.serial <= known.serial:
             return
-        self._heard[sender.vm] = _Heard(sender.incarnation, message.serial, now)
+        self._received[sender.vm] = _Received(sender.incarnation, message.serial, now)
         for adapter, count in message.counts:
             if 0 < count <= MAX_COUNT:
                 self._popularity.observe(adapter, now, count)
--- a/hawthornlead/decisions/routers.py
+++ b/hawthornlead/decisions/routers.py
@@ -1,7 +1,7 @@
 """Routing: which target gets a request.
 
-Strategies are entered in ``ROUTERS`` by the ``router`` decorator and chosen by the
-setting ``ROUTER``. A router is handed the placement that says where to load::
+Strategies are registered in ``ROUTERS`` by the ``router`` decorator and selected by the
+setting ``ROUTER``. A router gets the placement that decides where to load::
 
     placement = PLACEMENTS[settings["PLACEMENT"]](settings=settings)
     router = ROUTERS[settings["ROUTER"]](settings=settings, placement=placement)
@@ -24,7 +24,7 @@
 
 
 class Candidate(NamedTuple):
-    """A target for a request, and whether the adapter was resident when last told.
+    """A target for a request, and whether its last known state holds the adapter.
 
     ``resident`` is False while the adapter is still being loaded there.
     """
@@ -47,7 +47,7 @@
         popularity: Popularity,
         now: float,
     ) -> list[Candidate]:
-        """Return all targets that may take it, best first; empty when none may."""
+        """Return all targets that may take the request, best first."""
         raise NotImplementedError
 
 
@@ -61,7 +61,7 @@
 
 @router("least-loaded")
 class LeastLoadedRouter(Router):
-    """Baseline: a resident copy where there is one, else the least loaded target."""
+    """Baseline: a resident copy if there is one, otherwise the least loaded target."""
 
     def choose(self, assignment, views, popularity, now):
         """Return targets that hold the adapter, then the others, least work first."""
@@ -72,7 +72,7 @@
 
 @router("hashing")
 class HashingRouter(Router):
-    """Baseline: rendezvous hashing of the adapter, whatever is resident or busy."""
+    """Baseline: rendezvous hashing of the adapter, ignoring residency and load."""
 
     def choose(self, assignment, views, popularity, now):
         """Return the placement's order."""
@@ -82,11 +82,11 @@
 
 @router("affinity")
 class AffinityRouter(Router):
-    """Targets that hold the adapter while they aren't overloaded, then a new copy.
+    """Targets that hold the adapter and aren't overloaded, then a new copy.
 
-    A target is overloaded beyond ``LOAD_BOUND`` times the mean work of the usable
-    targets, and beyond a full step. Among copies, ``BATCH_WEIGHT`` prefers the
-    fuller target, so that batches fill, and its absence the emptier one.
+    A target is overloaded if its work exceeds both ``LOAD_BOUND`` times the mean of the
+    usable targets and a full batch. Among copies a high ``BATCH_WEIGHT`` prefers the
+    fuller target, so that batches fill, and a low one the emptier target.
     """
 
     def choose(self, assignment, views, popularity, now):
@@ -120,6 +120,6 @@
     def _preference(self, view: TargetView) -> tuple:
         share = work(view) / self._full(view)
         weight = self._settings["BATCH_WEIGHT"]
-        # Up to full, a fuller batch costs each step little; beyond, requests queue.
+        # A fuller batch adds little to each step until it is full; then requests queue.
         queued = max(0.0, share - 1.0)
         return (1 - 2 * weight) * share + queued * 10, view.target
--- a/hawthornlead/decisions/suspects.py
+++ b/hawthornlead/decisions/suspects.py
@@ -1,12 +1,12 @@
 """Requests that crash their target: suspicion, quarantine, clearing.
 
-A request is known by its fingerprint, which covers caller, alias and body, so that
-it is recognised when its caller sends it again through another VM. All requests on
-a target when it dies become suspects, on every VM. A suspect may run only where no
-other suspect runs, so that a second death points at one. After
-``CRASHES_TO_QUARANTINE`` deaths a request is refused for ``QUARANTINE_S``; one that
-completes whole is cleared. So one such request takes down that many targets, and
-as many more as were already running it when the word of the last death came.
+A request is identified by its fingerprint, which covers caller, alias and body, so that
+it is recognised when its caller sends it again through another VM. All requests on a
+target when it dies become suspects, on every VM. A suspect may run only where no other
+suspect runs, so that a second death identifies one. After ``CRASHES_TO_QUARANTINE``
+deaths a request is refused for ``QUARANTINE_S``; a request that completes is cleared.
+So one crashing request takes down that many targets, plus those that were already
+running it when the report of the last death arrived.
 """
 
 from collections import OrderedDict
@@ -21,8 +21,8 @@
 
 MAX_SUSPECTS = 8192
 MAX_FINGERPRINTS = 4096
-# Reports of one death that don't know the boot id come within this time.
-SAME_DEATH_S = 5.0
+# Reports of one death that lack the boot id arrive within this time.
+SAME_DEATH_WINDOW_S = 5.0
 
 
 class _Death(NamedTuple):
@@ -31,7 +31,7 @@
 
 
 class _Suspect:
-    """The deaths that a request was there for, and until when it is refused."""
+    """The deaths of targets that ran a request, and until when it is refused."""
 
     def __init__(self):
         self.deaths: set[_Death] = set()
@@ -54,11 +54,11 @@
 
     @property
     def count(self) -> int:
-        """How many fingerprints are remembered."""
+        """The number of stored fingerprints."""
         return len(self._suspects)
 
     def check(self, fingerprint: bytes) -> Result[None, Failure]:
-        """Refuse a request that is in quarantine, saying for how long."""
+        """Refuse a request in quarantine, with the remaining time."""
         suspect = self._current(fingerprint)
         if suspect is None or suspect.refused_until is None:
             return Ok(None)
@@ -71,17 +71,17 @@
         return self._current(fingerprint) is not None
 
     def may_join(self, fingerprint: bytes, running: Iterable[bytes]) -> bool:
-        """Whether a request may run on a target beside those that run there.
+        """Whether a request may run on a target together with those that run there.
 
-        A suspect may not join another suspect. Trying itself again is refused too:
-        the second would tell nothing that the first does not.
+        A suspect may not join another suspect, including another attempt of itself,
+        which would reveal nothing more.
         """
         if not self.is_suspect(fingerprint):
             return True
         return not any(self.is_suspect(other) for other in running)
 
     def record_completion(self, fingerprint: bytes) -> None:
-        """Clear a suspect whose request completed whole; no conviction is lifted."""
+        """Clear a suspect whose request completed; a quarantine is not lifted."""
         suspect = self._current(fingerprint)
         if suspect is None or suspect.refused_until is not None:
             return
@@ -102,7 +102,7 @@
         death = self._death(target, boot_id)
         for fingerprint in list(fingerprints)[:MAX_FINGERPRINTS]:
             if (fingerprint, death) in self._cleared:
-                # The report was overtaken: the request has completed since.
+                # The report is outdated: the request has completed since.
                 continue
             self._accuse(fingerprint, death)
 
@@ -114,7 +114,7 @@
         suspect = self._current(fingerprint)
         if suspect is None:
             suspect = self._suspects[fingerprint] = _Suspect()
-            self._forget_oldest()
+            self._evict_oldest()
         if death in suspect.deaths or suspect.refused_until is not None:
             return
         suspect.deaths.add(death)
@@ -128,12 +128,12 @@
         self._events.emit(EventKind.REQUEST_QUARANTINED, name, target=death.target)
 
     def _death(self, target: str, boot_id: str) -> _Death:
-        """Name a death; one without a boot id by its time."""
+        """Return the identity of a death; without a boot id it is based on time."""
         if boot_id:
             return _Death(target, boot_id)
         now = self._timers.now()
         at, number = self._unnamed.get(target, (now, 0))
-        if now - at > SAME_DEATH_S:
+        if now - at > SAME_DEATH_WINDOW_S:
             number += 1
             at = now
         self._unnamed[target] = (at, number)
@@ -143,7 +143,7 @@
         return _Death(target, f"?{number}")
 
     def _current(self, fingerprint: bytes) -> _Suspect | None:
-        """Return a suspect unless its suspicion or quarantine is over."""
+        """Return a suspect unless its suspicion or quarantine has expired."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             return None
@@ -155,7 +155,7 @@
             return None
         return suspect
 
-    def _forget_oldest(self) -> None:
-        """Bound the memory; the suspects longest without a death go first."""
+    def _evict_oldest(self) -> None:
+        """Bound the memory by evicting the suspects longest without a death."""
         while len(self._suspects) > MAX_SUSPECTS:
             self._suspects.popitem(last=False)
--- a/hawthornlead/decisions/views.py
+++ b/hawthornlead/decisions/views.py
@@ -1,7 +1,7 @@
-"""What this VM knows of every target: the VM list and what owners tell.
+"""Views of all targets, built from the VM list and the states that owners announce.
 
-A view is knowledge for choosing only. It lags, and nothing that must hold rests on
-it: the right to run is a grant, given by the target's owner.
+A view is only used for choosing. It lags, and no invariant depends on it: the right to
+run is a grant, issued by the target's owner.
 """
 
 from typing import NamedTuple
@@ -10,17 +10,17 @@
 from ..messages import TargetState
 from ..timers import TimerService
 
-# Owners change without a call to this module, so the views are rebuilt this often
-# even when nothing else was heard.
+# Owners change without a call to this module, so the views are rebuilt at least this
+# often.
 VIEW_MAX_AGE_S = 0.25
 
 
 def target_resource(target: str) -> str:
-    """Name the resource that a target's owner owns."""
+    """Return the name of the resource that a target's owner owns."""
     return f"target:{target}"
 
 
-class _Age(NamedTuple):
+class _Version(NamedTuple):
     fence: int
     serial: int
 
@@ -28,8 +28,8 @@
 class TargetView(NamedTuple):
     """What this VM knows of one target.
 
-    ``owner_vm`` is empty while nobody owns it, ``state`` None until its owner was
-    heard, ``last_seen_at`` by the timer service's clock (0 when never heard).
+    ``owner_vm`` is empty while nobody owns it. ``state`` is None until its owner has
+    announced it, at ``last_seen_at`` on the timer service's clock (0 if never).
     """
 
     target: str
@@ -55,12 +55,12 @@
         self._vm_list = vm_list
         self._owners = owners
         self._states: dict[str, TargetState] = {}
-        self._heard_at: dict[str, float] = {}
+        self._last_seen_at: dict[str, float] = {}
         self._entries: dict = {}
         self._views: dict[str, TargetView] = {}
         self._all: tuple[TargetView, ...] | None = None
         self._built_at: float | None = None
-        self._seen: set[str] = set()
+        self._known: set[str] = set()
 
     def start(self, mesh) -> None:
         """Listen to owners over ``mesh`` and to the VM list."""
@@ -68,7 +68,7 @@
         self._vm_list.subscribe(self._on_vm_list)
 
     async def stop(self) -> None:
-        """Nothing to end: the mesh and the VM list end their own."""
+        """Do nothing; the mesh and the VM list stop their own tasks."""
 
     def views(self) -> tuple[TargetView, ...]:
         """Return the views of all targets, in the order of the VM list."""
@@ -83,18 +83,18 @@
         return self._views.get(target)
 
     def apply_state(self, state: TargetState) -> bool:
-        """Take in what an owner tells; return whether it was news.
+        """Apply the state that an owner announces; return whether it is newer.
 
-        The newest fence wins, then the newest serial: a message of a superseded
-        owner that comes late must not hide what its successor told.
+        The newest fence wins, then the newest serial, so that a late message of a
+        superseded owner doesn't replace its successor's state.
         """
         known = self._states.get(state.target)
-        if known is not None and _age(state) < _age(known):
+        if known is not None and _version_of(state) < _version_of(known):
             return False
         self._states[state.target] = state
-        self._heard_at[state.target] = self._timers.now()
-        # Only this target's view is built anew: with hundreds of targets states come
-        # faster than all views could be.
+        self._last_seen_at[state.target] = self._timers.now()
+        # Only this target's view is rebuilt: with hundreds of targets, states arrive
+        # faster than all views could be rebuilt.
         entry = self._entries.get(state.target)
         if entry is not None:
             self._views[state.target] = self._build(entry)
@@ -117,7 +117,7 @@
             name: self._build(entry) for name, entry in self._entries.items()
         }
         self._all = None
-        self._meet_and_forget()
+        self._update_known()
 
     def _build(self, entry) -> TargetView:
         attributes = entry.attributes
@@ -131,7 +131,7 @@
             base_models=tuple(attributes.get("base_models", ())),
             owner_vm=owner.vm if owner is not None else "",
             state=state,
-            last_seen_at=self._heard_at.get(entry.name, 0.0),
+            last_seen_at=self._last_seen_at.get(entry.name, 0.0),
             leaving=leaving,
             slots=int(attributes.get("slots", 0)),
             max_running=int(attributes.get("max_running", 0)),
@@ -139,8 +139,8 @@
             weight_store=str(attributes.get("weight_store", "")),
         )
 
-    def _meet_and_forget(self) -> None:
-        for target in self._views.keys() - self._seen:
+    def _update_known(self) -> None:
+        for target in self._views.keys() - self._known:
             view = self._views[target]
             self._events.emit(
                 EventKind.TARGET_SEEN,
@@ -148,11 +148,11 @@
                 address=view.address,
                 fencing=view.fencing,
             )
-        for target in self._seen - self._views.keys():
+        for target in self._known - self._views.keys():
             self._states.pop(target, None)
-            self._heard_at.pop(target, None)
-        self._seen = set(self._views)
+            self._last_seen_at.pop(target, None)
+        self._known = set(self._views)
 
 
-def _age(state: TargetState) -> _Age:
-    return _Age(state.fence, state.serial)
+def _version_of(state: TargetState) -> _Version:
+    return _Version(state.fence, state.serial)
--- a/hawthornlead/tests/test_limit_shares.py
+++ b/hawthornlead/tests/test_limit_shares.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hawthornlead.decisions.limit_shares import ONSET_S, LimitShare
+from hawthornlead.decisions.limit_shares import ONSET_DELAY_S, LimitShare
 
 # What a target may get in a window that ends KNOWN_S after it named its limit.
 OVERAGE, SLACK, WINDOW_S, KNOWN_S = 1.5, 5, 4.0, 3.0
@@ -68,15 +68,15 @@
     used = 0
     for seed in SEEDS:
         sent = Fleet(vms, limit, 3 * limit, seed).play()
-        used += sum(at >= NAMED_AT + ONSET_S for at in sent)
-    could = limit * (END - NAMED_AT - ONSET_S) * len(SEEDS)
+        used += sum(at >= NAMED_AT + ONSET_DELAY_S for at in sent)
+    could = limit * (END - NAMED_AT - ONSET_DELAY_S) * len(SEEDS)
     assert used > 0.5 * could
 
 
 def test_a_request_that_was_not_sent_leaves_its_credit():
     share = LimitShare(1.0, 0.0, Random(1))
     free_at = share.wait_s(0.0)
-    assert free_at > ONSET_S
+    assert free_at > ONSET_DELAY_S
     assert not share.acquire(free_at - 0.01)
     assert share.acquire(free_at + 0.01)
     assert not share.acquire(free_at + 0.02)
--- a/hawthornlead/tests/test_limits.py
+++ b/hawthornlead/tests/test_limits.py
@@ -5,7 +5,7 @@
 import pytest
 
 from hawthornlead.bundles.bundles import CallerTerms
-from hawthornlead.decisions.limits import MAX_IDLE_CALLERS, Admissions, open_share
+from hawthornlead.decisions.limits import MAX_CALLERS, Admissions, open_share
 from hawthornlead.errors import ErrorKind
 from hawthornlead.settings import default_settings
 from hawthornlead.timers import ManualTimerService
@@ -91,6 +91,6 @@
 
 
 async def test_idle_callers_are_forgotten(admissions):
-    for number in range(MAX_IDLE_CALLERS + 100):
+    for number in range(MAX_CALLERS + 100):
         admissions.admit(make_terms(f"caller-{number}"), 9).map(lambda a: a.release())
-    assert len(admissions._callers) == MAX_IDLE_CALLERS
+    assert len(admissions._callers) == MAX_CALLERS
--- a/hawthornlead/tests/test_popularities.py
+++ b/hawthornlead/tests/test_popularities.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hawthornlead.decisions.popularities import FORGET_EVERY, POPULARITIES
+from hawthornlead.decisions.popularities import EXPIRE_INTERVAL, POPULARITIES
 from hawthornlead.settings import default_settings
 
 
@@ -63,8 +63,8 @@
     nothing must go too, while the busy ones stay.
     """
     counters = make_counters()
-    for number in range(3 * FORGET_EVERY):
+    for number in range(3 * EXPIRE_INTERVAL):
         counters.observe(f"adapter-{number}", 10.0 * number)
         counters.observe("busy", 10.0 * number)
-    assert len(counters) < FORGET_EVERY
-    assert counters.rate("busy", 30.0 * FORGET_EVERY) > 0
+    assert len(counters) < EXPIRE_INTERVAL
+    assert counters.rate("busy", 30.0 * EXPIRE_INTERVAL) > 0
--- a/hawthornlead/tests/test_quotas.py
+++ b/hawthornlead/tests/test_quotas.py
@@ -6,8 +6,8 @@
 
 from hawthornlead.bench.bench_quotas import LOADS, QuotaDemand, play_quota
 from hawthornlead.decisions.quotas import (
-    MOST_RETRY_S,
-    TOLD_KEPT_S,
+    MAX_RETRY_S,
+    STATE_TTL_S,
     Limit,
     QuotaLedger,
 )
@@ -89,7 +89,7 @@
     assert 7 <= one.admitted(100) <= 17
     refusal = one.ledger.admit("zimi", 10.0).err_value
     assert refusal.kind is ErrorKind.CALLER_LIMITED
-    assert 0 < refusal.retry_after_s <= MOST_RETRY_S
+    assert 0 < refusal.retry_after_s <= MAX_RETRY_S
     assert "zimi is over its limit of 100" in refusal.detail
 
 
@@ -136,7 +136,7 @@
     """A VM that wakes spends credit which the others spent while it stood still."""
     one = OneLedger()
     one.idle(5.0)
-    one.at += TOLD_KEPT_S + 8.0
+    one.at += STATE_TTL_S + 8.0
     assert one.admitted(50) <= 1
     assert one.ledger.admit("zimi", 10.0).err_value.kind is ErrorKind.ISOLATED
     one.idle(5.0)
--- a/hawthornlead/tests/test_retries.py
+++ b/hawthornlead/tests/test_retries.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from hawthornlead.decisions.retries import FLOOR, LONGEST_S, WINDOW_S, Retries
+from hawthornlead.decisions.retries import MAX_BACKOFF_S, MIN_RETRIES, WINDOW_S, Retries
 from hawthornlead.settings import default_settings
 from hawthornlead.timers import ManualTimerService
 
@@ -36,17 +36,19 @@
         while retries.acquire():
             sent += 1
     windows = 30 / WINDOW_S
-    assert 1500 * 1.09 <= sent <= 1500 * 1.1 + FLOOR * (windows + 1)
+    assert 1500 * 1.09 <= sent <= 1500 * 1.1 + MIN_RETRIES * (windows + 1)
 
 
 async def test_a_quiet_vm_may_retry_and_the_window_slides(retries, timers):
-    assert [retries.acquire() for _ in range(FLOOR + 1)] == [True] * FLOOR + [False]
+    assert [retries.acquire() for _ in range(MIN_RETRIES + 1)] == [
+        True
+    ] * MIN_RETRIES + [False]
     await timers.advance(WINDOW_S + 1)
-    assert retries.left == FLOOR
+    assert retries.left == MIN_RETRIES
 
 
 def test_backoff_has_full_jitter_under_a_growing_limit(retries):
-    for number, limit in ((1, 0.025), (2, 0.05), (3, 0.1), (20, LONGEST_S)):
+    for number, limit in ((1, 0.025), (2, 0.05), (3, 0.1), (20, MAX_BACKOFF_S)):
         waits = [retries.backoff(number) for _ in range(500)]
         assert min(waits) < limit * 0.05
         assert limit * 0.9 < max(waits) <= limit
@@ -54,17 +56,17 @@
 
 async def test_no_retry_is_planned_past_the_deadline(retries, timers):
     assert retries.next_wait(1, timers.now()) is None
-    assert retries.left == FLOOR
+    assert retries.left == MIN_RETRIES
     assert retries.next_wait(1, timers.now() + 1) <= 0.025
-    assert retries.left == FLOOR - 1
+    assert retries.left == MIN_RETRIES - 1
 
 
 async def test_no_retry_follows_the_last_attempt(retries, timers):
     most = default_settings()["MAX_ATTEMPTS"]
     assert not await retries.wait(most, timers.now() + 10)
-    assert retries.left == FLOOR
+    assert retries.left == MIN_RETRIES
     waiting = asyncio.ensure_future(retries.wait(most - 1, timers.now() + 10))
     await asyncio.sleep(0)
-    await timers.advance(LONGEST_S)
+    await timers.advance(MAX_BACKOFF_S)
     assert await waiting
-    assert retries.left == FLOOR - 1
+    assert retries.left == MIN_RETRIES - 1
