--- a/hawthornlead/tests/test_events.py
+++ b/hawthornlead/tests/test_events.py
@@ -13,7 +13,7 @@
 
 
 class SetTimers(ManualTimerService):
-    """A timer service whose wall clock is set by hand, also backwards."""
+    """A timer service whose wall clock can be set, also back."""
 
     wall_s = 1.0
 
@@ -34,31 +34,31 @@
 
 
 def test_names_have_one_number_each():
-    # Two members with an equal value would be one member under two names.
+    # Two members with equal values would be aliases of one member.
     assert len(EventKind.__members__) == len(list(EventKind))
 
 
 def test_fields_may_have_any_name():
-    """Every refused request answers 500 in place of its own status.
+    """A field may have the name of a parameter of ``emit``.
 
-    The event of a refusal has a field ``kind``, which is also a parameter of
-    ``emit``; passed twice, it raises within the handler.
+    The event of a refusal has a field ``kind``. If it clashed with the parameter, the
+    handler would raise and answer each refused request with 500.
     """
     events = ring()
     events.emit(EventKind.REQUEST_REFUSED, "r", kind="no-slot", subject="x")
     assert events.newest()[0].text == "kind=no-slot subject=x"
 
 
-def test_typed_field_reads_plainly():
-    # An operator filters the time line by "adapter=tide", not by a class's repr.
+def test_a_typed_field_is_printed_by_its_own_fields():
+    # Operators filter the timeline by "adapter=tide", not by a class's repr.
     events = ring()
     loaded = AdapterVersion("tide", "1")
     events.emit(EventKind.LOAD_ENDED, "engine-1", adapter=loaded, seconds=0.2)
     assert events.newest()[0].text == "adapter=tide version=1 seconds=0.2"
 
 
-def test_what_happens_per_request_is_not_logged_at_info():
-    # A fleet answers thousands of requests a second; the ring keeps their events.
+def test_events_of_each_request_are_not_logged_at_info():
+    # A fleet answers thousands of requests a second. Their events are in the ring only.
     per_request = [kind for kind in EventKind if 600 <= kind.number < 605]
     per_request.append(EventKind.CALLER_LEFT)
     assert {kind.level for kind in per_request} == {"DEBUG"}
@@ -95,8 +95,8 @@
 
 
 def test_clock_set_back_still_gives_later_times():
-    # The VM's clock is set back by an hour while it serves. In the time line an
-    # effect would stand an hour before its cause if wall time alone ordered events.
+    # A VM's wall clock is set back while it serves. If wall time alone ordered events,
+    # an effect would be before its cause in the timeline.
     timers = SetTimers()
     clock = HybridClock(timers)
     first = clock.tick()
--- a/hawthornlead/tests/test_hashes.py
+++ b/hawthornlead/tests/test_hashes.py
@@ -1,13 +1,13 @@
-"""Tests of the hashes."""
+"""Tests of digests and rendezvous hashing."""
 
 from hawthornlead.hashes import digest64, rendezvous
 
 
-def test_parts_have_ends():
+def test_the_digest_depends_on_where_parts_end():
     assert digest64("ab", "c") != digest64("a", "bc")
 
 
-def test_rendezvous_moves_only_what_it_must():
+def test_a_removed_name_moves_no_other_name():
     names = [f"t{number}" for number in range(9)]
     for number in range(50):
         order = rendezvous(f"adapter-{number}", names)
--- a/hawthornlead/tests/test_registries.py
+++ b/hawthornlead/tests/test_registries.py
@@ -5,7 +5,7 @@
 from hawthornlead.registries import Registry, UnknownName
 
 
-def test_entries_are_found_by_name_in_their_order():
+def test_entries_are_found_by_name_and_listed_in_order():
     registry = Registry("router")
     register = registry.register
 
@@ -21,7 +21,7 @@
     assert list(registry) == ["nearest", "first"]
 
 
-def test_a_doubled_name_is_an_error_and_keeps_the_first():
+def test_a_duplicate_name_is_an_error_and_the_first_entry_stays():
     registry = Registry("router")
     registry.register("nearest")(1)
     with pytest.raises(ValueError, match="router.*'nearest'"):
@@ -29,7 +29,7 @@
     assert registry["nearest"] == 1
 
 
-def test_an_unknown_name_is_told_with_the_known_ones():
+def test_the_error_for_an_unknown_name_lists_the_known_ones():
     registry = Registry("router")
     registry.register("nearest")(1)
     registry.register("first")(2)
--- a/hawthornlead/tests/test_resolvers.py
+++ b/hawthornlead/tests/test_resolvers.py
@@ -1,4 +1,4 @@
-"""Tests of the resolver for IP numbers."""
+"""Tests of the resolver for IP addresses."""
 
 import asyncio
 import socket
@@ -6,11 +6,11 @@
 from hawthornlead.resolvers import NumberResolver
 
 
-async def test_numbers_are_resolved_without_a_thread(monkeypatch):
-    async def asked(*args, **options):
-        raise AssertionError("asked the loop, which asks a thread")
+async def test_ip_addresses_are_resolved_without_a_thread(monkeypatch):
+    async def getaddrinfo(*args, **options):
+        raise AssertionError("the event loop was called, which uses a thread")
 
-    monkeypatch.setattr(asyncio.get_running_loop(), "getaddrinfo", asked)
+    monkeypatch.setattr(asyncio.get_running_loop(), "getaddrinfo", getaddrinfo)
     resolver = NumberResolver()
     assert await resolver.resolve("127.0.0.1", 80) == [
         (socket.AF_INET, ("127.0.0.1", 80))
@@ -20,10 +20,10 @@
     assert found[0][1][:2] == ("::1", 81)
 
 
-async def test_names_go_to_the_loop(monkeypatch):
-    async def asked(host, port, **options):
+async def test_host_names_are_resolved_by_the_event_loop(monkeypatch):
+    async def getaddrinfo(host, port, **options):
         return [(socket.AF_INET, socket.SOCK_STREAM, 6, "", ("10.0.0.9", port))]
 
-    monkeypatch.setattr(asyncio.get_running_loop(), "getaddrinfo", asked)
+    monkeypatch.setattr(asyncio.get_running_loop(), "getaddrinfo", getaddrinfo)
     found = await NumberResolver().resolve("engine-1.example", 80)
     assert found == [(socket.AF_INET, ("10.0.0.9", 80))]
--- a/hawthornlead/tests/test_settings.py
+++ b/hawthornlead/tests/test_settings.py
@@ -65,10 +65,10 @@
         assert places(found) == [("operators", "ben")]
 
 
-def test_every_unreadable_operator_key_is_told(read):
-    """A key is mistyped in the settings of a VM.
+def test_every_invalid_operator_key_is_reported(read):
+    """Guards against a mistyped key that ends the VM's start with a traceback.
 
-    Unchecked, the VM would fail at its start with a traceback that names no key.
+    The traceback would not name the key.
     """
     text = f"[operators]\nana = abc\nben = {KEY}\ncai = {KEY[4:]}\n"
     outcome = read(VALID + text + "[grants]\ngrant_size = x\n")
@@ -108,7 +108,7 @@
         ("logs", "log_level", "loud"),
     ],
 )
-def test_value_out_of_what_is_allowed(read, section, key, text):
+def test_a_value_that_is_not_allowed(read, section, key, text):
     body = VALID.replace("[vm]", f"[vm]\n{key} = {text}") if section == "vm" else VALID
     if section == "platform":
         body = VALID.replace("[platform]", f"[platform]\n{key} = {text}")
@@ -130,9 +130,9 @@
 
 
 def test_all_errors_at_once(read):
-    # An operator with five faults in a file would otherwise start the process five
-    # times, learning one fault each time. Missing, malformed, unknown and misfitting
-    # keys are found in different steps, so each step must run.
+    # If only the first error were reported, a file with five errors would take five
+    # starts to correct. Missing, malformed, unknown and conflicting keys are found in
+    # different steps, so each step must run.
     text = "[vm]\nvm_name = a b\n[lease]\nlease_s = 1\n[tls]\ntls_key = k\n[x]\n"
     assert set(places(read(text))) == {
         ("vm", "vm_name"),
@@ -147,13 +147,13 @@
     }
 
 
-def test_key_with_an_error_is_told_once(read):
+def test_a_key_with_an_error_is_reported_once(read):
     text = VALID + "[lease]\nlease_s = 1000\nlease_renew_s = 5\n"
     assert places(read(text)) == [("lease", "lease_s")]
 
 
 @pytest.mark.parametrize(("lesser", "greater", "factor"), FITS)
-def test_fits(lesser, greater, factor):
+def test_settings_that_must_fit(lesser, greater, factor):
     values = default_settings()
     values[lesser] = values[greater] / factor
     assert configure_settings(values).is_ok()
--- a/hawthornlead/tests/test_tasks.py
+++ b/hawthornlead/tests/test_tasks.py
@@ -1,11 +1,11 @@
-"""Tests of sets of tasks."""
+"""Tests of ``TaskSet``."""
 
 import asyncio
 
 from hawthornlead.tasks import TaskSet
 
 
-async def test_a_task_runs_once_while_its_name_is_under_way():
+async def test_a_named_task_is_not_started_again_while_it_runs():
     tasks, released, runs = TaskSet(), asyncio.Event(), []
 
     async def run():
