--- a/hawthornlead/gateway/crash_watches.py
+++ b/hawthornlead/gateway/crash_watches.py
@@ -1,8 +1,8 @@
-"""Finding out which requests were on a target as it died.
+"""Detection of the requests that were on a target when it crashed.
 
-A connection that breaks may mean a target that died, one that resets connections, or
-a lost path. A fresh connection tells: a process that is gone refuses it. One that
-started again at once answers, and its new start tells.
+A connection may break because the target died, because it resets connections, or
+because the network path was lost. A fresh connection decides: a process that is gone
+refuses it. If the target restarted at once, its new incarnation proves the crash.
 """
 
 from collections import defaultdict
@@ -19,14 +19,14 @@
 from .target_connections import TargetConnections
 
 # All connections of a target that dies break within some milliseconds.
-GATHER_S = 0.08
-# The entry of a new start comes within 1.1 s through the watch, and connections that
-# it broke may be noticed later than that.
+BREAK_BATCH_S = 0.08
+# The entry of a new incarnation arrives through the watch within 1.1 s, and connections
+# that the restart broke may be noticed later than that.
 RESTART_SEEN_S = 2.0
 
 
-class _Doubt(NamedTuple):
-    """Requests whose connections broke at a target that took the next one."""
+class _UnprovenCrash(NamedTuple):
+    """Requests whose connections broke at a target that accepted the next one."""
 
     at: float
     fingerprints: frozenset[bytes]
@@ -50,75 +50,77 @@
         self._mesh = mesh
         self._timers = timers
         self._broken: dict[Incarnation, set[bytes]] = defaultdict(set)
-        self._doubts: dict[Incarnation, _Doubt] = {}
+        self._unproven: dict[Incarnation, _UnprovenCrash] = {}
         self._restarted_at: dict[Incarnation, float] = {}
         self._tasks = TaskSet()
 
     def stop(self) -> None:
-        """End what is under way."""
+        """Cancel all checks."""
         self._tasks.cancel()
 
     def on_connection_broken(self, entry: TargetEntry, fingerprint: bytes) -> None:
-        """Note that a request's connection broke without a whole answer."""
+        """Record that a request's connection broke without a complete answer."""
         self._broken[entry.incarnation].add(fingerprint)
-        self._tasks.spawn_once(f"{entry.incarnation}", lambda: self._look(entry))
+        self._tasks.spawn_once(f"{entry.incarnation}", lambda: self._check(entry))
 
     def on_restarted(self, former: TargetEntry) -> None:
-        """Note that a target has started again: its former incarnation died.
+        """Report the crash of a target's former incarnation, which has restarted.
 
-        A connection that broke there is then proof enough, also where the new start
-        took the next connection before this VM could see the address refuse one.
+        A connection that broke there is then proof enough, even if the new incarnation
+        accepted the next connection before this VM could see the address refuse one.
         """
-        self._forget_old()
+        self._expire()
         self._restarted_at[former.incarnation] = self._timers.now()
-        doubt = self._doubts.pop(former.incarnation, None)
-        if doubt is not None:
-            self._tell_died(former, doubt.fingerprints)
+        unproven = self._unproven.pop(former.incarnation, None)
+        if unproven is not None:
+            self._report_death(former, unproven.fingerprints)
 
-    async def _look(self, entry: TargetEntry) -> None:
-        await self._timers.sleep(GATHER_S)
+    async def _check(self, entry: TargetEntry) -> None:
+        await self._timers.sleep(BREAK_BATCH_S)
         incarnation = entry.incarnation
         opened = await self._connections.open(entry.address, fresh=True)
         fingerprints = frozenset(self._broken.pop(incarnation, ()))
-        self._forget_old()
+        self._expire()
         if opened.is_ok():
             opened.ok_value.close()
             if incarnation in self._restarted_at:
-                self._tell_died(entry, fingerprints)
+                self._report_death(entry, fingerprints)
                 return
-            doubt = self._doubts.get(incarnation)
-            if doubt is not None:
-                fingerprints |= doubt.fingerprints
-            self._doubts[incarnation] = _Doubt(self._timers.now(), fingerprints)
+            unproven = self._unproven.get(incarnation)
+            if unproven is not None:
+                fingerprints |= unproven.fingerprints
+            self._unproven[incarnation] = _UnprovenCrash(
+                self._timers.now(), fingerprints
+            )
             return
         if opened.err_value.kind is not ErrorKind.TARGET_UNREACHABLE:
             return
         self._connections.forget(entry.address)
-        self._tell_died(entry, fingerprints)
+        self._report_death(entry, fingerprints)
 
-    def _tell_died(self, entry: TargetEntry, fingerprints: frozenset[bytes]) -> None:
+    def _report_death(self, entry: TargetEntry, fingerprints: frozenset[bytes]) -> None:
         self._events.emit(
             EventKind.TARGET_DIED, entry.target, requests=len(fingerprints)
         )
-        told = CrashSuspects(entry.target, _name(entry), tuple(fingerprints))
-        self._suspects.record_death(*told)
-        self._mesh.broadcast(told)
+        report = CrashSuspects(entry.target, _name(entry), tuple(fingerprints))
+        self._suspects.record_death(*report)
+        self._mesh.broadcast(report)
 
-    def _forget_old(self) -> None:
-        """Drop doubts and restarts that are too old to explain one another."""
+    def _expire(self) -> None:
+        """Discard broken connections and restarts that are too old to be related."""
         oldest = self._timers.now() - RESTART_SEEN_S
-        for incarnation, doubt in tuple(self._doubts.items()):
-            if doubt.at < oldest:
-                del self._doubts[incarnation]
+        for incarnation, unproven in tuple(self._unproven.items()):
+            if unproven.at < oldest:
+                del self._unproven[incarnation]
         for incarnation, at in tuple(self._restarted_at.items()):
             if at < oldest:
                 del self._restarted_at[incarnation]
 
 
 def _name(entry: TargetEntry) -> str:
-    """Name the incarnation that died, which dies once.
+    """Return a name of an incarnation, so that its death counts once.
 
-    A target that tells no start has a new id with each.
+    A target that reports no start has a new id in each incarnation.
     """
     if entry.started_ms is None:
         return entry.target
--- a/hawthornlead/gateway/leaving_notices.py
+++ b/hawthornlead/gateway/leaving_notices.py
@@ -1,6 +1,6 @@
-"""How VMs tell one another of targets that say in an answer that they leave.
+"""Notices of targets that say in an answer that they leave, shared between VMs.
 
-Their entries say so too, but later, and not at all while the store is away.
+Their entries show this too, but later, and not at all during a store outage.
 """
 
 from ..fleet.fleet_meshes import FleetMesh
@@ -10,22 +10,22 @@
 
 
 class LeavingNotices:
-    """Takes the word of a target, or of another VM, that a target leaves.
+    """Applies the notice of a target, or of another VM, that the target leaves.
 
     ::
 
-        words.note(entry.incarnation)
+        notices.handle(entry.incarnation)
     """
 
     def __init__(self, *, targets: TargetTable, mesh: FleetMesh):
         self._targets = targets
         self._mesh = mesh
-        mesh.on(TargetLeaves, self._take)
+        mesh.on(TargetLeaves, self._on_target_leaves)
 
-    def note(self, incarnation: Incarnation) -> None:
-        """Take the word of a target itself, and tell the other VMs."""
+    def handle(self, incarnation: Incarnation) -> None:
+        """Apply the notice of a target itself, and announce it to the other VMs."""
         if self._targets.mark_leaving(incarnation):
             self._mesh.broadcast(TargetLeaves(*incarnation))
 
-    async def _take(self, sender, message: TargetLeaves) -> None:
+    async def _on_target_leaves(self, sender, message: TargetLeaves) -> None:
         self._targets.mark_leaving(Incarnation(message.target, message.started_ms))
--- a/hawthornlead/gateway/target_attempts.py
+++ b/hawthornlead/gateway/target_attempts.py
@@ -303,7 +303,7 @@
         if head.signs.backoff_s:
             self._parts.backoffs.record(entry.target, head.signs.backoff_s)
         if head.signs.leaving:
-            self._parts.leaving_notices.note(entry.incarnation)
+            self._parts.leaving_notices.handle(entry.incarnation)
         limit_per_s = head.signs.limit_per_s
         self._parts.limits.record_answer(entry.incarnation, limit_per_s, sent_at)
 
--- a/hawthornlead/gateway/target_backoffs.py
+++ b/hawthornlead/gateway/target_backoffs.py
@@ -1,11 +1,11 @@
-"""The targets that turned this VM away and asked it for rest."""
+"""The targets that refused a request of this VM and asked it to back off."""
 
 from ..events import EventKind, EventRing
 from ..timers import TimerService
 
 
 class TargetBackoffs:
-    """Until when each target wants no request from this VM.
+    """Until when each target accepts no request from this VM.
 
     ::
 
@@ -19,14 +19,14 @@
         self._until: dict[str, float] = {}
 
     def record(self, target: str, rest_s: float) -> None:
-        """Note that a target wants no request for so long from now on."""
+        """Record that a target accepts no request for ``rest_s`` from now on."""
         if not self.wait_s(target):
             self._events.emit(EventKind.TARGET_RESTS, target, rest_s=rest_s)
         until = self._timers.now() + rest_s
         self._until[target] = max(until, self._until.get(target, until))
 
     def wait_s(self, target: str) -> float:
-        """Return for how long a target wants no request yet, in seconds."""
+        """Return for how long a target still accepts no request, in seconds."""
         until = self._until.get(target)
         if until is None:
             return 0.0
@@ -37,5 +37,5 @@
         return left_s
 
     def discard(self, target: str) -> None:
-        """Drop the rest of a target whose start is over."""
+        """Discard the backoff of a target whose incarnation is over."""
         self._until.pop(target, None)
--- a/hawthornlead/gateway/target_connections.py
+++ b/hawthornlead/gateway/target_connections.py
@@ -1,7 +1,7 @@
-"""Connections to targets: one request at a time on each, kept for the next one.
+"""Kept connections to targets, with one request at a time on each.
 
-Tornado's ``HTTP1Connection`` speaks the protocol. Added here are the keeping of
-connections, and the proof that an answer is whole and belongs to its request::
+Tornado's ``HTTP1Connection`` implements the protocol. This module adds the reuse of
+connections, and checks that an answer is complete and belongs to its request::
 
     opened = await connections.open("10.128.0.9:8080")
     exchange = opened.ok_value
@@ -21,24 +21,24 @@
 from ..platform.headers import AnswerMetadata, read_answer_metadata
 from ..timers import TimerService
 
-# A target answers a new connection in a few milliseconds; a packet that is lost is
-# sent again after 200 ms or more, which one such loss must survive.
-CONNECT_S = 0.5
-# Keeping stops this long before the target closes by its own word, so that no request
-# crosses with the closing and is lost in doubt.
+# A target accepts a connection in a few milliseconds. A lost packet is sent again after
+# 200 ms or more, and one such loss must not fail the connection.
+CONNECT_TIMEOUT_S = 0.5
+# A connection is dropped this long before the target's announced idle time-out, so that
+# no request is sent while the target closes it.
 CLOSING_MARGIN_S = 0.7
-# For how long a connection is kept whose target says nothing of closing.
-IDLE_S = 4.0
-# A connection that something on the way forgot stays silent; the system gives it up
-# when bytes stay unacknowledged for this long.
-UNACKNOWLEDGED_S = 2.5
-# Answers to other requests that are read and dropped before a connection is given up.
+# How long a connection is kept if its target announces no idle time-out.
+DEFAULT_IDLE_S = 4.0
+# A connection that a device on the path dropped stays silent. The kernel closes it when
+# sent data stays unacknowledged for this long.
+UNACKNOWLEDGED_TIMEOUT_S = 2.5
+# Answers to other requests that are read and dropped before a connection is abandoned.
 MAX_STRAY_ANSWERS = 4
 MAX_ANSWER_BYTES = 1 << 26
 
 
 class Head(NamedTuple):
-    """The beginning of an answer; ``framed`` if its end shows without a closing."""
+    """The head of an answer; ``framed`` if its end is known without a close."""
 
     status: int
     reason: str
@@ -48,17 +48,17 @@
 
 
 class AnswerSink(Protocol):
-    """Takes an answer as it comes."""
+    """Receives an answer while it is read."""
 
     def handle_head(self, head: Head) -> None:
-        """Take the beginning."""
+        """Handle the head."""
 
     def handle_data(self, chunk: bytes) -> None:
-        """Take the next piece of the body."""
+        """Handle the next chunk of the body."""
 
 
 class WholeAnswer:
-    """A sink that keeps the whole body; ``head`` is None until it came."""
+    """A sink that keeps the whole answer; ``head`` is None until it is received."""
 
     def __init__(self):
         self._parts: list[bytes] = []
@@ -66,20 +66,20 @@
 
     @property
     def body(self) -> bytes:
-        """What came of the body so far."""
+        """The body received so far."""
         return b"".join(self._parts)
 
     def handle_head(self, head: Head) -> None:
-        """Keep the beginning."""
+        """Keep the head."""
         self.head = head
 
     def handle_data(self, chunk: bytes) -> None:
-        """Keep the next piece."""
+        """Keep the next chunk."""
         self._parts.append(chunk)
 
 
 class _AnswerReader(httputil.HTTPMessageDelegate):
-    """Takes one answer; ``stray`` if it belongs to another request."""
+    """Reads one answer; ``stray`` if it belongs to another request."""
 
     def __init__(self, request_id: str, sink: AnswerSink):
         self._request_id = request_id
@@ -95,8 +95,8 @@
         if signs.request_id != self._request_id and (
             signs.request_id or start_line.code < 300
         ):
-            # A target may send an answer twice, or late, where the next answer is
-            # due. Without this check its caller would get another caller's answer.
+            # A target may send an answer twice, or late in place of the next one.
+            # Without this check a caller would get another caller's answer.
             self.stray = bool(self._request_id)
         if self.stray:
             return
@@ -132,10 +132,10 @@
 
     @property
     def whole(self) -> bool:
-        """Whether the answer came to its end, as its framing or its closing tells.
+        """Whether the answer is complete, by its framing or by its close.
 
-        An answer without a length ends with its connection; one that was reset has
-        lost its rest on the way.
+        An answer without a length ends with its connection. If that was reset, the end
+        of the answer is lost.
         """
         reader = self._reader
         if reader is None or not reader.finished or not self._reading.done():
@@ -144,7 +144,7 @@
 
     @property
     def ended(self) -> asyncio.Task:
-        """The task that reads the answer; done when nothing more will come."""
+        """The task that reads the answer, done at its end."""
         return self._reading
 
     def send(
@@ -159,8 +159,8 @@
     ) -> None:
         """Send the request; from here on it may reach the target.
 
-        The answer goes to ``sink`` as it comes. An empty ``request_id``
-        takes whatever answer comes first.
+        The answer goes to ``sink`` while it is read. An empty ``request_id`` accepts
+        any answer.
         """
         params = HTTP1ConnectionParameters(
             no_keep_alive=False, max_body_size=MAX_ANSWER_BYTES
@@ -174,28 +174,28 @@
         self._reading = asyncio.ensure_future(
             self._read(connection, params, request_id, sink)
         )
-        self._reading.add_done_callback(self._note_end)
+        self._reading.add_done_callback(self._on_read_end)
 
     def release(self) -> None:
-        """Give the connection back for reuse if its answer came whole, else close it.
+        """Keep the connection for reuse if its answer is complete, else close it.
 
-        A target may answer before it has read the whole request. What it reads next
-        on that connection must be the rest of it, so that such a one is closed.
+        It is also closed if the target answered before it had read the whole request,
+        because the target still expects the rest of it.
         """
         reader = self._reader
-        taken = self._written is not None and self._written.done()
-        if not self.whole or not taken or not reader.head.framed:
+        request_read = self._written is not None and self._written.done()
+        if not self.whole or not request_read or not reader.head.framed:
             self.close()
             return
         if reader.head.signs.closes:
             self.close()
             return
         idle_s = reader.head.signs.idle_s
-        keep_s = IDLE_S if idle_s is None else idle_s - CLOSING_MARGIN_S
+        keep_s = DEFAULT_IDLE_S if idle_s is None else idle_s - CLOSING_MARGIN_S
         self._pool.keep(self._address, self._stream, keep_s)
 
     def close(self) -> None:
-        """Close the connection; the target sees its caller gone."""
+        """Close the connection, which tells the target that its caller is gone."""
         self._stream.close()
 
     async def _read(self, connection, params, request_id, sink) -> None:
@@ -207,23 +207,25 @@
             connection = HTTP1Connection(self._stream, True, params)
             connection.finish()
 
-    def _note_end(self, task: asyncio.Task) -> None:
-        # What a broken connection raises says no more than that the answer isn't whole.
+    def _on_read_end(self, task: asyncio.Task) -> None:
+        # Retrieve the error: a broken connection only means an incomplete answer.
         if not task.cancelled():
             task.exception()
 
 
 class TargetConnections:
-    """Exchanges with targets on connections that are kept for as long as theirs are."""
+    """Exchanges with targets on a pool of kept connections."""
 
     def __init__(self, *, timers: TimerService):
         self._pool = ConnectionPool(
-            timers=timers, connect_s=CONNECT_S, unacknowledged_s=UNACKNOWLEDGED_S
+            timers=timers,
+            connect_s=CONNECT_TIMEOUT_S,
+            unacknowledged_s=UNACKNOWLEDGED_TIMEOUT_S,
         )
 
     @property
     def opened(self) -> int:
-        """How many connections were opened since the start."""
+        """How many connections were opened since the process started."""
         return self._pool.opened
 
     async def open(
@@ -236,7 +238,7 @@
         time for a new one.
         """
         opened = await self._pool.open(address, fresh, within_s)
-        return opened.map(lambda stood: Exchange(self._pool, address, *stood))
+        return opened.map(lambda connection: Exchange(self._pool, address, *connection))
 
     def forget(self, address: str) -> None:
         """Close the idle connections to one target."""
--- a/hawthornlead/gateway/target_loads.py
+++ b/hawthornlead/gateway/target_loads.py
@@ -1,4 +1,4 @@
-"""How many requests run where: this VM's own at once, the other VMs' as they tell."""
+"""The requests under way on each target: this VM's own, and what other VMs report."""
 
 from collections import Counter, defaultdict
 from collections.abc import Callable
@@ -10,26 +10,26 @@
 from .engine_slots import AdapterKey
 from .records import Incarnation
 
-# A VM that told nothing for so long is frozen, cut off or gone; its requests are ended
-# or can't be known.
+# A VM that reported nothing for this long is frozen, cut off or gone. Its requests have
+# ended or are unknown.
 UPDATE_TTL_S = 3.0
 
 
-class _Told(NamedTuple):
-    """What one VM told of its requests on one target, and when."""
+class _Report(NamedTuple):
+    """The requests of one VM on one target, and when it reported them."""
 
     at: float
     load: TargetLoad
 
 
 class _Total(NamedTuple):
-    """What a head told of all requests on one target, and this VM's among them."""
+    """All requests on one target by a head's report; ``own`` are this VM's in it."""
 
     running: TargetRunning
     own: int
 
 
-def _untold(target: str) -> Incarnation:
+def _no_start(target: str) -> Incarnation:
     return Incarnation(target, None)
 
 
@@ -47,7 +47,7 @@
         self,
         *,
         timers: TimerService,
-        incarnation: Callable[[str], Incarnation] = _untold,
+        incarnation: Callable[[str], Incarnation] = _no_start,
     ):
         self._timers = timers
         self._incarnation = incarnation
@@ -56,14 +56,14 @@
         self._started: dict[str, dict[AdapterKey, int]] = {}
         # By target, then VM: most VMs have requests on few targets only, and all
         # targets are compared for each request.
-        self._told: dict[str, dict[str, _Told]] = {}
-        self._told_targets: dict[str, tuple[str, ...]] = {}
-        # Requests of this VM that began at a former start and haven't ended yet.
+        self._reports: dict[str, dict[str, _Report]] = {}
+        self._reported_targets: dict[str, tuple[str, ...]] = {}
+        # Unfinished requests of this VM to a former incarnation of a target.
         self._outlived: Counter[tuple[str, AdapterKey | None]] = Counter()
-        # In a large fleet, the requests of all VMs by target, as a head told them.
+        # In a large fleet, the requests of all VMs by target, as a head reported them.
         self._totals: dict[str, _Total] = {}
         self._totals_at = -UPDATE_TTL_S
-        self._own_told: dict[str, int] = {}
+        self._own_reported: dict[str, int] = {}
 
     @property
     def own_total(self) -> int:
@@ -71,7 +71,7 @@
         return sum(self._own.values())
 
     def on_request_started(self, target: str, key: AdapterKey | None) -> None:
-        """Count a request that goes to a target now."""
+        """Count a request that is sent to a target now."""
         self._own[target] += 1
         if key is None:
             return
@@ -83,9 +83,8 @@
     def on_request_ended(self, target: str, key: AdapterKey | None) -> None:
         """Count a request that has ended.
 
-        Those that began at a former start are taken to end first, since nothing runs
-        there any more. If one ends later after all, the count is one too high until
-        then, and right again after.
+        Requests to a former incarnation are assumed to end first, since nothing runs
+        there any more. If one ends later, the count is one too high until then.
         """
         if self._outlived[target, key]:
             self._outlived[target, key] -= 1
@@ -104,7 +103,7 @@
             del self._own_uses[target]
 
     def on_restarted(self, target: str) -> None:
-        """Count no more what this VM's requests use at a target's former start."""
+        """Stop counting this VM's requests to a target's former incarnation."""
         running = self._own.pop(target, 0)
         uses = self._own_uses.pop(target, {})
         self._started.pop(target, None)
@@ -117,12 +116,12 @@
         own = self._own.get(target, 0)
         if self._timers.now() - self._totals_at < UPDATE_TTL_S:
             return own + self._others_in_total(target)
-        return own + sum([load.running for load in self._told_of(target)])
+        return own + sum([load.running for load in self._current_loads(target)])
 
     def adapters_running(self, target: str) -> dict[AdapterKey, int]:
         """Return how many requests use each adapter of a target, of all VMs."""
         running: dict[AdapterKey, int] = dict(self._own_uses.get(target, {}))
-        for load in self._told_of(target):
+        for load in self._current_loads(target):
             for use in load.uses:
                 key = AdapterKey(use.model, use.adapter)
                 running[key] = running.get(key, 0) + use.running
@@ -131,7 +130,7 @@
     def totals(self) -> tuple[TargetRunning, ...]:
         """Return the requests of all VMs on each target that has any."""
         totals = []
-        for target in set(self._own) | set(self._told):
+        for target in set(self._own) | set(self._reports):
             running = self.running(target)
             if running:
                 started_ms = self._incarnation(target).started_ms
@@ -139,24 +138,24 @@
         return tuple(totals)
 
     def apply_totals(self, totals: tuple[TargetRunning, ...]) -> None:
-        """Take the requests of all VMs by target, as a head counted them."""
+        """Apply the requests of all VMs by target, as a head counted them."""
         self._totals_at = self._timers.now()
         self._totals = {
-            each.target: _Total(each, self._own_told.get(each.target, 0))
+            each.target: _Total(each, self._own_reported.get(each.target, 0))
             for each in totals
         }
 
     def apply_loads(self, vm: str, message: VmLoads) -> None:
-        """Take another VM's word."""
+        """Apply another VM's report."""
         now = self._timers.now()
-        for target in self._told_targets.get(vm, ()):
-            self._drop_told(target, vm)
-        self._told_targets[vm] = tuple([load.target for load in message.loads])
+        for target in self._reported_targets.get(vm, ()):
+            self._remove_report(target, vm)
+        self._reported_targets[vm] = tuple([load.target for load in message.loads])
         for load in message.loads:
-            self._told.setdefault(load.target, {})[vm] = _Told(now, load)
+            self._reports.setdefault(load.target, {})[vm] = _Report(now, load)
 
     def build_update(self) -> VmLoads:
-        """Return what the other VMs are told, and begin to count starts anew."""
+        """Return the report to other VMs; reset the count of started requests."""
         started, self._started = self._started, {}
         loads = []
         for target in set(self._own) | set(started):
@@ -169,7 +168,7 @@
             count = self._own.get(target, 0)
             started_ms = self._incarnation(target).started_ms
             loads.append(TargetLoad(target, count, tuple(uses), started_ms))
-        self._own_told = dict(self._own)
+        self._own_reported = dict(self._own)
         return VmLoads(tuple(loads))
 
     def own_running(self, target: str, key: AdapterKey) -> int:
@@ -177,20 +176,20 @@
         return self._own_uses.get(target, {}).get(key, 0)
 
     def apply_ended(self, vm: str, target: str, key: AdapterKey, running: int) -> None:
-        """Take how many of another VM's requests still use an adapter of a target.
+        """Apply how many of another VM's requests still use an adapter of a target.
 
-        This is newer than the VM's last word on all its requests.
+        This is newer than the VM's last report on all its requests.
         """
-        told = self._told.get(target, {}).get(vm)
-        if told is None:
+        report = self._reports.get(target, {}).get(vm)
+        if report is None:
             return
         uses = []
-        for use in told.load.uses:
+        for use in report.load.uses:
             if (use.model, use.adapter) == key:
                 use = use._replace(running=min(use.running, running))
             uses.append(use)
-        load = told.load._replace(uses=tuple(uses))
-        self._told[target][vm] = told._replace(load=load)
+        load = report.load._replace(uses=tuple(uses))
+        self._reports[target][vm] = report._replace(load=load)
 
     def _others_in_total(self, target: str) -> int:
         """Return the other VMs' requests on a target, by what a head counted."""
@@ -201,27 +200,27 @@
         if None not in (current_ms, total.running.started_ms) and (
             total.running.started_ms != current_ms
         ):
-            # It counts what ran at a former start.
+            # The total is that of a former incarnation.
             return 0
         return max(0, total.running.running - total.own)
 
-    def _drop_told(self, target: str, vm: str) -> None:
-        told = self._told.get(target, {})
-        told.pop(vm, None)
-        if not told:
-            self._told.pop(target, None)
+    def _remove_report(self, target: str, vm: str) -> None:
+        by_vm = self._reports.get(target, {})
+        by_vm.pop(vm, None)
+        if not by_vm:
+            self._reports.pop(target, None)
 
-    def _told_of(self, target: str) -> list[TargetLoad]:
-        """Return what other VMs told lately of the current start of a target.
+    def _current_loads(self, target: str) -> list[TargetLoad]:
+        """Return other VMs' current reports on a target's current incarnation.
 
-        One that hasn't heard of a restart yet still counts what runs there no more.
+        A VM that doesn't know of a restart yet still counts requests that are gone.
         """
-        told_after = self._timers.now() - UPDATE_TTL_S
+        oldest = self._timers.now() - UPDATE_TTL_S
         current_ms = self._incarnation(target).started_ms
         loads = []
-        for told in self._told.get(target, {}).values():
-            if told.at < told_after:
+        for report in self._reports.get(target, {}).values():
+            if report.at < oldest:
                 continue
-            if current_ms is None or told.load.started_ms in (None, current_ms):
-                loads.append(told.load)
+            if current_ms is None or report.load.started_ms in (None, current_ms):
+                loads.append(report.load)
         return loads
--- a/hawthornlead/tests/test_incarnations.py
+++ b/hawthornlead/tests/test_incarnations.py
@@ -8,7 +8,7 @@
 from hawthornlead.clocks import HybridClock
 from hawthornlead.errors import ErrorKind, Failure
 from hawthornlead.events import EventRing
-from hawthornlead.gateway.crash_watches import GATHER_S, RESTART_SEEN_S, CrashWatch
+from hawthornlead.gateway.crash_watches import BREAK_BATCH_S, RESTART_SEEN_S, CrashWatch
 from hawthornlead.gateway.engine_slots import AdapterKey
 from hawthornlead.gateway.records import (
     Incarnation,
@@ -292,7 +292,7 @@
         """Have a connection break, and let the watch look."""
         self.watch.on_connection_broken(entry, fingerprint)
         await asyncio.sleep(0)
-        await self._timers.advance(2 * GATHER_S)
+        await self._timers.advance(2 * BREAK_BATCH_S)
 
     def record_death(self, target, boot_id, fingerprints):
         self.told.append((boot_id, sorted(fingerprints)))
@@ -336,7 +336,7 @@
     deaths.connections.takes = True
     first = site.targets.entries["e1"]
     await deaths.broke(first, b"of another cause")
-    assert deaths.watch._doubts
+    assert deaths.watch._unproven
     await site.timers.advance(RESTART_SEEN_S)
     deaths.watch.on_restarted(first)
     assert not deaths.told
