--- a/hawthornlead/gateway/target_connections.py
+++ b/hawthornlead/gateway/target_connections.py
@@ -238,7 +238,7 @@
         time for a new one.
         """
         opened = await self._pool.open(address, fresh, within_s)
-        return opened.map(lambda connection: Exchange(self._pool, address, *connection))
+        return opened.map(lambda pooled: Exchange(self._pool, address, *pooled))
 
     def forget(self, address: str) -> None:
         """Close the idle connections to one target."""
