--- a/hawthornlead/tests/test_unreadable_records.py
+++ b/hawthornlead/tests/test_unreadable_records.py
@@ -89,10 +89,10 @@
     vm = site.add("a")
     site.write_good(TARGETS_KIND, "n1")
     await site.agree()
-    vm.targets._missing["n1"] = site.timers.now() + 60
+    vm.targets._lapsed["n1"] = site.timers.now() + 60
     site.write_bad(TARGETS_KIND, "n1", "x")
     await site.agree()
-    assert not vm.targets._missing
+    assert not vm.targets._lapsed
 
 
 async def test_repeated_unreadable_writes_are_logged_once(site):
