--- a/hawthornlead/gateway/owner_objects.py
+++ b/hawthornlead/gateway/owner_objects.py
@@ -22,8 +22,8 @@
 class OwnerObject(NamedTuple):
     """Who owns an engine: a VM's incarnation, or nobody while ``vm`` is empty.
 
-    ``former`` are the VMs that may have ordered the engine within ``TURN_S`` before
-    the object was written, the newest first.
+    ``former`` are the VMs that may have ordered the engine within ``MIN_HANDOVER_S``
+    before the object was written, the newest first.
     """
 
     vm: str
--- a/hawthornlead/tests/fakes_owned_engines.py
+++ b/hawthornlead/tests/fakes_owned_engines.py
@@ -42,9 +42,9 @@
 class FakeEngine:
     """Takes orders as an engine does; ``held`` and ``arriving`` are its slots.
 
-    ``restart`` begins another incarnation. ``mute`` orders are carried out without an
-    answer, ``late`` ones are kept in ``kept`` and carried out by ``carry_out_kept``,
-    if their count still holds.
+    ``restart`` starts another incarnation. The next ``mute`` orders are carried out
+    without an answer. The next ``late`` orders are stored in ``kept``, and
+    ``carry_out_kept`` carries them out if their count is still valid.
     """
 
     def __init__(self):
@@ -80,7 +80,7 @@
         return Ok(report)
 
     async def order(self, address, target, order, allowed):
-        """Take an order, and answer it or not."""
+        """Take an order, and answer it unless ``mute`` or ``late`` is set."""
         if not allowed():
             return OrderOutcome.REFUSED
         self.orders.append(order)
@@ -95,15 +95,15 @@
         return outcome
 
     def carry_out_kept(self):
-        """Carry out what was kept, if the count holds."""
+        """Carry out the kept orders whose count is still valid."""
         return [self.carry_out(order) for order in self.kept]
 
     def carry_out_now(self, order):
-        """Carry out an order whose count happens to be right just now."""
+        """Carry out an order as if its count happened to be valid now."""
         return self.carry_out(order._replace(order_count=self.count))
 
     def restart(self):
-        """Begin another incarnation, without adapters."""
+        """Start another incarnation, without adapters."""
         self.starts += 1
         self.count = 0
         self.held.clear()
@@ -112,7 +112,7 @@
             self.started_ms += 1500
 
     def carry_out(self, order):
-        """Carry out an order if its count holds."""
+        """Carry out an order if its count is valid."""
         if order.order_count != self.count:
             return OrderOutcome.CONFLICT
         self.count += 1
@@ -140,7 +140,7 @@
 
 
 class Owned:
-    """Ownership that a test gives and takes."""
+    """An ownership controlled by the test."""
 
     def __init__(self):
         self.fence = 4
@@ -150,26 +150,26 @@
         return Ownership(target, self.fence, 1, 1, 0.0, UNOWNED) if self.fence else None
 
     def record_order(self, target):
-        """Take note of an order; nobody else owns the engine here."""
+        """Ignore an order; nobody else owns the engine here."""
 
 
 class InUse:
-    """Requests under way, as the test says."""
+    """Requests in progress, set by the test."""
 
     def __init__(self):
         self.adapters = {}
 
     def running(self, target):
-        """Return the requests under way."""
+        """Return the requests in progress."""
         return self.adapters
 
     def announce_interval_s(self):
-        """Return how often VMs tell of theirs."""
+        """Return how often VMs announce their requests."""
         return 0.02
 
 
 class Bed:
-    """An owner before a fake engine."""
+    """An owner of a fake engine."""
 
     def __init__(self):
         self.engine = FakeEngine()
@@ -181,7 +181,7 @@
         self.owner = self.own(UnacknowledgedOrders(timers=self.timers))
 
     def own(self, late):
-        """Return an owner of the engine's current start."""
+        """Return an owner of the engine's current incarnation."""
         entry = TargetEntry("e1", "llm", "10.0.0.1:80", "gijon", 8, False, None, ())
         return EngineOwner(
             entry._replace(started_ms=self.engine.started_ms),
@@ -200,7 +200,7 @@
         )
 
     async def restart(self):
-        """Start the engine again and order its new start, as ``EngineManager`` does."""
+        """Restart the engine and order the new one as ``EngineManager`` does."""
         former = self.owner
         former.stop()
         self.engine.restart()
@@ -225,7 +225,7 @@
         return await self.owner.load(wanted, version, wait_s)
 
     async def until(self, condition, wait_s=3.0):
-        """Wait for a condition, which must come about."""
+        """Wait for a condition, which must become true."""
         end = self.timers.now() + wait_s
         while not condition():
             assert self.timers.now() < end, "it did not come about"
@@ -233,7 +233,7 @@
 
 
 def shorten_waits(monkeypatch):
-    """Shorten the waits for reports, which this engine gives without a lag."""
+    """Shorten the waits for reports, which this engine returns without a lag."""
     monkeypatch.setattr(engine_owners, "REPORT_LAG_S", 0.02)
     monkeypatch.setattr(engine_reports, "REPORT_LAG_S", 0.02)
     monkeypatch.setattr(engine_reports, "CHECK_INTERVAL_S", 0.05)
--- a/hawthornlead/tests/restarted_engines.py
+++ b/hawthornlead/tests/restarted_engines.py
@@ -1,4 +1,4 @@
-"""Engines of a deployment that start again, and what its VMs believe of them."""
+"""Restarting engines of a deployment, and what its VMs observe of them, for tests."""
 
 import asyncio
 
@@ -13,19 +13,19 @@
 
 
 def holding(gateway, engine, key=KEY):
-    """Return what a VM believes that an engine holds."""
+    """Return the holding of an engine as a VM observes it."""
     entry = gateway._targets.entries[engine.target]
     service = gateway._parts.configuration.service("llm")
     return gateway._targets.holding(entry, service, key)
 
 
 def believed(gateway, engine):
-    """Return the start that a VM knows of an engine."""
+    """Return the start time of an engine that a VM knows."""
     return gateway._targets.entries[engine.target].started_ms
 
 
 def restarts_seen(gateway, engine):
-    """Return the starts, former and new, that a VM's log tells."""
+    """Return the former and new start times of the restarts in a VM's log."""
     seen = []
     for event in gateway._events.newest(engine.target):
         if event.number != EventKind.TARGET_RESTARTED.number:
@@ -53,7 +53,7 @@
 
 
 async def served(deployment, adapter="a1", vm=0):
-    """Ask until a request for an adapter is served, as its caller would."""
+    """Retry a request for an adapter until it is served, as its caller would."""
     for _ in range(40):
         answer = await deployment.ask(PATH, vm=vm, Model=f"{MODEL}/{adapter}")
         if answer.status == 200:
@@ -63,6 +63,6 @@
 
 
 async def all_know(deployment, engine):
-    """Wait until all VMs know an engine's newest start."""
+    """Wait until all VMs know an engine's newest incarnation."""
     for gateway in deployment.gateways:
         await deployment.until(lambda g=gateway: believed(g, engine) == engine.born)
--- a/hawthornlead/tests/slot_loads.py
+++ b/hawthornlead/tests/slot_loads.py
@@ -1,7 +1,7 @@
-"""A model of one engine with few slots under load, in steps of 10 ms; no network.
+"""Simulation of one engine with few slots under load, in steps of 10 ms; no network.
 
-It plays seeded requests against the real ``EngineSlots`` and ``SlotQueue`` and counts
-what callers get. Runs, loads and demand are those of a busy day: half a second a run,
+It runs seeded requests against the real ``EngineSlots`` and ``SlotQueue`` and counts
+their outcomes. Runs, loads and demand are those of a busy day: half a second a run,
 0.28 s a fetch, and demand by a power law over many adapters.
 """
 
@@ -17,20 +17,20 @@
 RUN_S = 0.5
 FIRST_S = 0.1
 OBJECTIVE_S = 1.0
-TOLD_EVERY_S = 0.24
+ANNOUNCE_INTERVAL_S = 0.24
 MODEL = ModelSpec("tide", 100.0, 2.0, 400, 1.0)
 SPEC = EngineSpec(64, 100_000, 200.0, 5, 6.0, (MODEL,))
 
 
 class Policy(NamedTuple):
-    """What is switched on: how late ends of requests are known, and the queue."""
+    """How late ends of requests are known, and whether requests wait in the queue."""
 
     end_known_after_s: float
     waits: bool
 
 
 class Outcome(NamedTuple):
-    """What callers got, by the rank of their route, and how much was fetched."""
+    """Outcomes of requests by the rank of their route, and the number of fetches."""
 
     asked: dict[int, int]
     in_time: dict[int, int]
@@ -39,7 +39,7 @@
 
     @property
     def share_in_time(self) -> float:
-        """The share of all requests that began within their objective."""
+        """The share of all requests that started within their objective."""
         return sum(self.in_time.values()) / sum(self.asked.values())
 
     @property
@@ -55,7 +55,7 @@
 
 
 class SlotLoad:
-    """One engine that is asked ``per_s`` requests a second for a minute."""
+    """One engine that gets ``per_s`` requests a second for a minute."""
 
     def __init__(self, policy: Policy, seed: int, per_s: float):
         self._policy = policy
@@ -66,7 +66,7 @@
         self._queue = SlotQueue()
         self._running: dict[AdapterKey, int] = {}
         self._run_ends: list[tuple[float, AdapterKey]] = []
-        self._words: list[tuple[float, AdapterKey]] = []
+        self._end_notices: list[tuple[float, AdapterKey]] = []
         self._arrivals: list[tuple[float, AdapterKey]] = []
         self._joined: dict[AdapterKey, list[_Waiting]] = {}
         self._waiting: list[_Waiting] = []
@@ -74,7 +74,7 @@
         self._outcome = Outcome({0: 0, 1: 0}, {0: 0, 1: 0}, {0: 0, 1: 0}, 0)
 
     def play(self, length_s: float = 60.0) -> Outcome:
-        """Play the load and return what callers got."""
+        """Run the load and return its outcome."""
         while self._now < length_s:
             self._now += STEP_S
             self._end_runs()
@@ -114,7 +114,7 @@
             return False
         if not self._slots.has_capacity(key):
             self._slots.apply_running(self._running)
-            victim = self._slots.victim(self._now, TOLD_EVERY_S)
+            victim = self._slots.victim(self._now, ANNOUNCE_INTERVAL_S)
             if victim is None:
                 return False
             self._slots.remove(victim)
@@ -137,9 +137,11 @@
     def _end_runs(self) -> None:
         for ends_at, key in [each for each in self._run_ends if each[0] <= self._now]:
             self._run_ends.remove((ends_at, key))
-            self._words.append((ends_at + self._policy.end_known_after_s, key))
-        for known_at, key in [each for each in self._words if each[0] <= self._now]:
-            self._words.remove((known_at, key))
+            self._end_notices.append((ends_at + self._policy.end_known_after_s, key))
+        for known_at, key in [
+            each for each in self._end_notices if each[0] <= self._now
+        ]:
+            self._end_notices.remove((known_at, key))
             self._running[key] -= 1
             if not self._running[key]:
                 del self._running[key]
--- a/hawthornlead/tests/test_drains.py
+++ b/hawthornlead/tests/test_drains.py
@@ -61,10 +61,10 @@
 async def test_kept_answers_are_served_then_refused_with_other_addresses(
     parts, drain, admissions
 ):
-    """A caller comes with an address that it was told before the VM began to leave.
+    """A caller uses an address that it resolved before the VM started to drain.
 
-    It is served for as long as callers keep answers, and what is open then is
-    waited for; a caller that comes later is sent to another VM.
+    It is served for as long as callers cache answers, and its open request is waited
+    for. A later caller is sent to another VM.
     """
     running = asyncio.ensure_future(drain.run(admissions))
     await asyncio.sleep(0)
@@ -85,7 +85,7 @@
 async def test_a_request_that_outlives_the_drain_breaks_the_invariant(
     parts, drain, admissions
 ):
-    """A stream runs past ``drain_s``, and the stop that follows cuts it off."""
+    """A stream runs longer than ``drain_s`` and is cut off when the VM stops."""
     admissions.admit(OFFICE, 5).unwrap()
     running = asyncio.ensure_future(drain.run(admissions))
     await asyncio.sleep(0)
--- a/hawthornlead/tests/test_engine_orders.py
+++ b/hawthornlead/tests/test_engine_orders.py
@@ -1,4 +1,4 @@
-"""Tests of the right to order an engine, from the look at it to the bytes."""
+"""Tests of the right to order an engine, from its check until the order is sent."""
 
 import asyncio
 
@@ -26,7 +26,7 @@
 
 
 class SlowConnections:
-    """Connections that are open when the test says; ``sent`` are the bodies."""
+    """Connections that open when the test allows it; ``sent`` are the bodies."""
 
     whole = False
 
@@ -37,7 +37,7 @@
         self.ended = None
 
     async def open(self, address):
-        """Open a connection once the test says so."""
+        """Open a connection once the test allows it."""
         self.opening.set()
         await self.go_on.wait()
         return Ok(self)
@@ -70,7 +70,7 @@
 
 
 async def give_while(fleet, happen):
-    """Have ``a`` order an engine; ``happen`` comes about while it connects."""
+    """Have ``a`` order an engine, and call ``happen`` while it connects."""
     connections = SlowConnections()
     orders = orders_of(fleet, connections)
     key = AdapterKey("m", "a1")
@@ -102,10 +102,10 @@
 
 
 async def test_no_order_leaves_after_a_yield():
-    """Two VMs order one engine, the older owner's order arriving last.
+    """Two VMs order one engine, and the older owner's order arrives last.
 
-    An owner had looked at its right to order and was opening a connection. Meanwhile
-    it said, asked by another VM, that it orders the engine no more; that VM claimed it.
+    The owner had checked its right to order and was connecting. Meanwhile it yielded
+    the engine to another VM, which claimed it.
     """
     fleet = await owned_by_a()
     fleet.store.overwrite(OWNERS_KIND, "e1", "scrambled")
@@ -119,7 +119,7 @@
 
 
 async def test_no_order_leaves_when_the_lease_ends_while_connecting():
-    """The same, with an owner that was suspended while its connection was opened."""
+    """The same, with an owner that was suspended while it connected."""
     fleet = await owned_by_a()
 
     async def happen():
@@ -135,10 +135,10 @@
 
 
 async def test_orders_whose_answers_all_come_late_have_a_report_read():
-    """An engine loads nothing for as long as its answers take over a tenth of a second.
+    """An engine loads nothing while its answers take over a tenth of a second.
 
-    The first order was carried out, and its answer came too late. Each further one
-    named the same count and was refused, and that answer came too late as well.
+    The first order was carried out, but its answer came too late. Each further order
+    named the same count and was refused, and that answer also came too late.
     """
     fleet = await owned_by_a()
     connections = SlowConnections()
@@ -153,14 +153,14 @@
 
 
 class AnsweringCalls:
-    """Calls to an engine that starts to carry out whatever it is ordered."""
+    """Calls to an engine that starts every order."""
 
     async def order(self, address, target, order, allowed):
         return OrderOutcome.STARTED
 
 
 async def test_a_load_of_what_is_on_its_way_is_no_proof_of_the_count():
-    """Streams of a sound engine are cut, which seems to count its orders anew."""
+    """Streams of a healthy engine are cut because its order count seems to restart."""
     fleet = await owned_by_a()
     orders = orders_of(fleet, SlowConnections())
     orders._calls = AnsweringCalls()
@@ -168,7 +168,7 @@
     await orders.give(ENTRY, OrderKind.LOAD, first, 0)
     await orders.give(ENTRY, OrderKind.LOAD, second, 0)
     assert (orders.accepted, orders.confirmed_accepted) == (2, 2)
-    # The load under way may bring this version already, and the order change nothing.
+    # The load in progress may bring this version already; then the order has no effect.
     await orders.give(ENTRY, OrderKind.LOAD, first, 2)
     assert (orders.accepted, orders.confirmed_accepted) == (None, 2)
     orders.set_accepted(2)
--- a/hawthornlead/tests/test_engine_owners.py
+++ b/hawthornlead/tests/test_engine_owners.py
@@ -1,4 +1,4 @@
-"""Tests of ordering one engine, before a small engine without a network."""
+"""Tests of the owner of one engine, with a fake engine and without a network."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 async def bed(monkeypatch):
-    """An owner that has read its engine's report; waits are shortened."""
+    """An owner that has read its engine's report, with shortened waits."""
     shorten_waits(monkeypatch)
     made = Bed()
     await made.start()
@@ -33,9 +33,9 @@
 
 
 async def test_who_waits_for_a_load_under_way_is_not_refused_for_others(bed):
-    """A request is refused for "too many loads" though its own adapter is coming.
+    """A request is refused for "too many loads" although its adapter is arriving.
 
-    Four fetches were under way, its own among them, as many as an engine allows.
+    Four fetches were in progress, including its own, which is the engine's maximum.
     """
     names = [f"a{number}" for number in range(MAX_ARRIVING)]
     first = [asyncio.create_task(bed.load(name)) for name in names]
@@ -68,9 +68,9 @@
 
 
 async def test_an_order_carried_out_late_does_no_harm(bed):
-    """An engine breaks down of one adapter too many, seconds after it was ordered.
+    """A load beyond the slots crashes an engine, seconds after it was ordered.
 
-    The order got no answer and was carried out after newer ones had filled the slots.
+    The order got no answer and was carried out after newer orders had filled the slots.
     """
     bed.engine.late = 1
     assert (await bed.load("a1")).is_ok()
@@ -101,9 +101,9 @@
 async def test_no_order_follows_while_an_adapter_in_use_leaves(bed):
     """All loads of an engine stop for seconds.
 
-    An adapter was ordered out that a request had just begun to use. The engine lets
-    it go when the run ends and refuses every order until then; its owner went on
-    giving orders, each refused, and read a report after each.
+    An adapter was unloaded that a request had just started to use. The engine removes
+    it when the run ends, and refuses every order until then. Its owner continued to
+    give orders, all refused, and read a report after each.
     """
     for number in range(SLOTS):
         assert (await bed.load(f"a{number}")).is_ok()
@@ -135,7 +135,7 @@
 
 
 async def test_an_old_version_in_use_is_not_waited_for(bed):
-    """Requests for an adapter wait for 20 s, as its old version still runs."""
+    """Requests for an adapter wait for 20 s while its old version is in use."""
     assert (await bed.load("a1")).is_ok()
     bed.in_use.adapters = {AdapterKey("tide", "a1"): 3}
     refused = await bed.load("a1", version=2)
@@ -165,10 +165,10 @@
 
 
 async def test_an_adapter_foreseen_too_early_holds_up_no_other_order(bed):
-    """Requests for all adapters of an engine wait, as one adapter came a little late.
+    """Requests for all adapters of an engine wait because one was a little late.
 
-    A request was sent when its adapter was foreseen to be there, and refused. The owner
-    then read a report under its lock, 0.1 s or more, before any other order.
+    A request was sent when its adapter was predicted to be ready, and was refused. The
+    owner then read a report under its lock, 0.1 s or more, before any other order.
     """
     assert (await bed.load("a1")).is_ok()
     key = AdapterKey("tide", "a1")
@@ -183,7 +183,7 @@
 
 
 def prompt(tokens, most_s):
-    """Return the question for a prompt's turn."""
+    """Return a request for a prompt's turn."""
     return ReservePrompt("e1", "tide", "a1", tokens, most_s)
 
 
@@ -211,10 +211,10 @@
 async def test_a_load_that_is_turned_down_is_not_asked_again_without_a_pause(
     bed, monkeypatch
 ):
-    """A VM answers nobody any more, and all its engines are without orders.
+    """A VM stops answering, and its engines get no orders.
 
-    An owner turned a load down because the old version of its adapter ran. Its request
-    could still wait for a slot, and asked again at once, without end.
+    An owner refused a load because the old version of its adapter was in use. The
+    request could still wait for a slot, and retried in a busy loop.
     """
     asked = []
 
@@ -240,9 +240,9 @@
 
 
 async def test_a_request_that_can_wait_gets_the_next_free_slot(bed):
-    """Callers are sent away at once, while slots come free ten times a second.
+    """Callers are refused at once, although ten slots a second become free.
 
-    All slots of all engines were in use for just that moment.
+    All slots of all engines were in use only at that moment.
     """
     await fill(bed)
     now = bed.timers.now()
--- a/hawthornlead/tests/test_gateway_decisions.py
+++ b/hawthornlead/tests/test_gateway_decisions.py
@@ -65,8 +65,8 @@
     Several callers' long prompts came together and the engine read them one after
     the other between two tokens of everybody else.
     """
-    pace = PromptPacer()
-    waits = [pace.reserve(4000, GAP_MS, now=5.0) for _ in range(4)]
+    pacer = PromptPacer()
+    waits = [pacer.reserve(4000, GAP_MS, now=5.0) for _ in range(4)]
     read_s = 4000 / TOKENS_PER_MS / 1000
     assert waits[0] == 0
     for before, after in zip(waits[1:], waits[2:], strict=False):
@@ -74,12 +74,12 @@
 
 
 def test_a_short_prompt_at_an_idle_moment_does_not_wait():
-    pace = PromptPacer()
+    pacer = PromptPacer()
     short = int(BURST_MS * TOKENS_PER_MS / 2)
-    assert pace.reserve(short, GAP_MS, now=5.0) == 0
-    assert pace.reserve(short, GAP_MS, now=5.0) == 0
-    assert pace.expected_wait(now=5.0) == 0
-    assert pace.reserve(4000, GAP_MS, now=9.0) == 0
+    assert pacer.reserve(short, GAP_MS, now=5.0) == 0
+    assert pacer.reserve(short, GAP_MS, now=5.0) == 0
+    assert pacer.expected_wait(now=5.0) == 0
+    assert pacer.reserve(4000, GAP_MS, now=9.0) == 0
 
 
 @pytest.mark.parametrize("gap_ms", [250.0, 300.0, 400.0])
@@ -88,20 +88,22 @@
 
     A prompt that takes nearly as long as the pause began while another was being read.
     """
-    pace = PromptPacer()
+    pacer = PromptPacer()
     long = int((gap_ms * (1 - DUTY) - EVENT_MS + 1) * TOKENS_PER_MS)
-    pace.reserve(600, gap_ms, now=5.0)
-    assert pace.expected_wait(5.0, 600, gap_ms) < pace.expected_wait(5.0, long, gap_ms)
-    begins_at = 5.0 + pace.reserve(long, gap_ms, now=5.0)
+    pacer.reserve(600, gap_ms, now=5.0)
+    assert pacer.expected_wait(5.0, 600, gap_ms) < pacer.expected_wait(
+        5.0, long, gap_ms
+    )
+    begins_at = 5.0 + pacer.reserve(long, gap_ms, now=5.0)
     assert begins_at - 5.0 >= read_ms(600) / 1000 / DUTY - 1e-9
 
 
 @given(st.lists(st.tuples(st.floats(0, 0.2), st.integers(1, 7000)), max_size=60))
 def test_paced_prompts_never_take_more_than_their_share(arrivals):
-    pace, now, starts = PromptPacer(), 0.0, []
+    pacer, now, starts = PromptPacer(), 0.0, []
     for gap_s, tokens in arrivals:
         now += gap_s
-        starts.append((now + pace.reserve(tokens, GAP_MS, now), tokens))
+        starts.append((now + pacer.reserve(tokens, GAP_MS, now), tokens))
     for index, (began_at, _) in enumerate(starts):
         read_s = 0.0
         for start_at, tokens in starts[index:]:
@@ -233,8 +235,8 @@
 
 def test_loads_of_silent_vms_are_forgotten(timers):
     loads = TargetLoads(timers=timers)
-    told = VmLoads((TargetLoad("e1", 4, (AdapterUse("tide", "a1", 4, 4),)),))
-    loads.apply_loads("vm-2", told)
+    update = VmLoads((TargetLoad("e1", 4, (AdapterUse("tide", "a1", 4, 4),)),))
+    loads.apply_loads("vm-2", update)
     loads.on_request_started("e1", key("a1"))
     assert loads.running("e1") == 5
     assert loads.adapters_running("e1") == {key("a1"): 5}
--- a/hawthornlead/tests/test_gateway_drains.py
+++ b/hawthornlead/tests/test_gateway_drains.py
@@ -1,4 +1,4 @@
-"""Tests of whole gateways that leave: what they still serve, and who goes on."""
+"""Tests of draining whole gateways: what they still serve, and who takes over."""
 
 import asyncio
 
@@ -32,10 +32,10 @@
 
 
 async def test_a_request_on_its_way_as_a_vm_ends_is_answered():
-    """A caller's stream is cut off without a word as a VM is restarted in good order.
+    """A caller's stream is cut off without an answer by a graceful restart.
 
-    The VM had waited until nothing was open. In that moment the caller connected; its
-    request was read, and the process ended.
+    The VM had waited until no request was open. At that moment the caller connected,
+    its request was read, and the process ended.
     """
     async with Deployment() as deployment:
         leaving = deployment.gateways[1]
@@ -76,11 +76,11 @@
 
 
 async def test_engines_are_ordered_while_the_vm_that_gave_them_back_still_runs():
-    """New adapters are refused for seconds each time a VM is restarted.
+    """New adapters are refused for seconds at each restart of a VM.
 
-    A VM that was stopped gave its engines back at once and then served for three
-    seconds what callers still sent. As long as the others heard it they took it for
-    the owner, and nobody ordered its engines.
+    A stopping VM released its engines at once, and served callers for three seconds
+    more. While the others still saw it they took it for the owner, and no VM ordered
+    its engines.
     """
     async with Deployment() as deployment:
         both = {engine.target for engine in deployment.engines}
@@ -101,15 +101,15 @@
 
 
 def owners_known(gateway, engines) -> set[str]:
-    """Return the VMs that a VM takes for the owners of engines."""
+    """Return the VMs that a VM regards as the owners of engines."""
     return {gateway._targets.owner(target) for target in engines}
 
 
 async def test_a_vm_that_leaves_tells_of_its_requests_to_their_end():
-    """Requests are refused for seconds after a VM was stopped, at engines with slots.
+    """After a VM stops, engines with free slots refuse requests for seconds.
 
-    The VM told no more of the streams that it still served. After 3 s the owner of
-    their engine took their adapters for unused and ordered one out; the engine then
+    The VM no longer announced the streams that it still served. After 3 s the owner of
+    their engine took their adapters for unused and unloaded one. The engine then
     refused all orders until its runs had ended.
     """
     async with Deployment() as deployment:
@@ -133,10 +133,10 @@
 
 
 async def test_a_vm_that_leaves_orders_on_while_the_store_is_away():
-    """Adapters aren't loaded for seconds as VMs are restarted in a store outage.
+    """No adapters are loaded for seconds when VMs restart during a store outage.
 
-    A VM that was stopped gave its engines back at once. The store didn't take it, and
-    nobody could claim them until the store was back, seconds after the VM had ended.
+    A stopping VM released its engines at once. The store didn't take the release, and
+    no VM could claim them until the store was back, seconds after the VM had ended.
     """
     async with Deployment() as deployment:
         both = {engine.target for engine in deployment.engines}
@@ -159,10 +159,10 @@
 
 
 async def test_an_engine_is_given_back_once_no_order_can_be_on_its_way():
-    """Two VMs order one engine at the same time as one of them is restarted.
+    """Two VMs order one engine at the same time when one of them restarts.
 
-    The last order of the VM that left got no answer. Its packet was lost and came
-    again within a second, when another VM had claimed the engine and ordered it.
+    The last order of the stopping VM got no answer. Its packet was lost and was
+    retransmitted within a second, when another VM had claimed the engine.
     """
     async with Deployment() as deployment:
         leaving = next(g for g in deployment.gateways if g._engine_manager.owned)
--- a/hawthornlead/tests/test_load_announcements.py
+++ b/hawthornlead/tests/test_load_announcements.py
@@ -8,14 +8,14 @@
 from .fakes_fleets import FakeFleet, let_run
 
 KEY = AdapterKey("tide", "a1")
-PLACES = {"gijon": 10, "bilbao": 10, "santander": 9}
-TOLD_S = GATHER_HOPS * GATHER_INTERVAL_S
+DATA_CENTRE_VMS = {"gijon": 10, "bilbao": 10, "santander": 9}
+ANNOUNCED_WITHIN_S = GATHER_HOPS * GATHER_INTERVAL_S
 
 
 @pytest.fixture
 async def large():
     """A large fleet in which all have heard of all."""
-    fleet = FakeFleet(PLACES)
+    fleet = FakeFleet(DATA_CENTRE_VMS)
     await fleet.settle()
     yield fleet
     fleet.stop()
@@ -33,17 +33,17 @@
 
 async def test_all_vms_hear_of_a_request_through_heads(large):
     large.vms["bilbao-3"].loads.on_request_started("i-1", KEY)
-    await large.settle(TOLD_S + 0.1)
+    await large.settle(ANNOUNCED_WITHIN_S + 0.1)
     assert running(large) == {1}
     large.vms["bilbao-3"].loads.on_request_ended("i-1", KEY)
-    await large.settle(TOLD_S + 0.1)
+    await large.settle(ANNOUNCED_WITHIN_S + 0.1)
     assert running(large) == {0}
 
 
 async def test_requests_of_all_data_centres_are_added_up(large):
     for name in ("gijon-0", "gijon-5", "bilbao-4", "santander-8"):
         large.vms[name].loads.on_request_started("i-1", KEY)
-    await large.settle(TOLD_S + 0.1)
+    await large.settle(ANNOUNCED_WITHIN_S + 0.1)
     assert running(large) == {4}
 
 
@@ -56,7 +56,7 @@
     vm = large.vms["bilbao-3"]
     large.vms["gijon-4"].loads.on_request_started("i-1", KEY)
     vm.loads.on_request_started("i-1", KEY)
-    await large.settle(2 * TOLD_S)
+    await large.settle(2 * ANNOUNCED_WITHIN_S)
     assert vm.loads.running("i-1") == 2
     vm.loads.on_request_started("i-1", KEY)
     assert vm.loads.running("i-1") == 3
@@ -77,18 +77,18 @@
     await large.settle(1.0)
     for name in ("gijon-1", "santander-2", "bilbao-7"):
         large.vms[name].loads.on_request_started("i-1", KEY)
-    await large.settle(3 * TOLD_S)
+    await large.settle(3 * ANNOUNCED_WITHIN_S)
     assert {owner.started["i-1", "a1"] for owner in owners} == {3}
     assert {owner.loads.adapters_running("i-1")[KEY] for owner in owners} == {3}
     large.vms["gijon-1"].loads.on_request_ended("i-1", KEY)
-    await large.settle(TOLD_S + 0.1)
+    await large.settle(ANNOUNCED_WITHIN_S + 0.1)
     assert {owner.loads.adapters_running("i-1")[KEY] for owner in owners} == {2}
 
 
 async def test_only_owners_hear_which_adapters_are_used(large):
     await large.settle(1.0)
     large.vms["gijon-7"].loads.on_request_started("i-1", KEY)
-    await large.settle(2 * TOLD_S)
+    await large.settle(2 * ANNOUNCED_WITHIN_S)
     others_of_gijon = [vm for name, vm in others(large).items() if name != "gijon-7"]
     assert all(not vm.loads.adapters_running("i-1") for vm in others_of_gijon)
 
@@ -99,7 +99,7 @@
     await large.settle(10 * GATHER_INTERVAL_S)
     assert max(vm.heard.total() for vm in others(large).values()) <= 11
     # A head hears the VMs of its own data centre and the other heads.
-    most = 11 * (max(PLACES.values()) + 2 * len(PLACES))
+    most = 11 * (max(DATA_CENTRE_VMS.values()) + 2 * len(DATA_CENTRE_VMS))
     assert max(vm.heard.total() for vm in large.vms.values()) <= most
 
 
@@ -112,13 +112,13 @@
     large.kill(head)
     name = next(name for name in others(large) if name.startswith("bilbao"))
     large.vms[name].loads.on_request_started("i-1", KEY)
-    await large.settle(TOLD_S + 0.8)
+    await large.settle(ANNOUNCED_WITHIN_S + 0.8)
     assert running(large) == {1}
 
 
 async def test_requests_of_a_vm_that_is_gone_count_no_more(large):
     large.vms["bilbao-8"].loads.on_request_started("i-1", KEY)
-    await large.settle(TOLD_S + 0.1)
+    await large.settle(ANNOUNCED_WITHIN_S + 0.1)
     large.kill("bilbao-8")
     await large.settle(5.0)
     assert running(large) == {0}
