--- a/hawthornlead/callers/__init__.py
+++ b/hawthornlead/callers/__init__.py
@@ -1,6 +1,7 @@
-"""Towards callers: the way of a request from its admission to its whole answer.
+"""Serves callers: the path of a request from its admission to its complete answer.
 
-Attempts, claims, relays of answers and refusals that tell the truth.
+Attempts, claims on idempotency keys, relayed answers, and refusals that state whether
+the request may have run.
 
 May import: the common modules, mesh, stores, ownership, bundles, decisions, engines.
 """
--- a/hawthornlead/callers/caller_servers.py
+++ b/hawthornlead/callers/caller_servers.py
@@ -1,8 +1,8 @@
-"""The HTTP server towards callers: what one connection may cost this VM.
+"""The HTTP server for callers, with limits on connections and bodies.
 
-Tornado answers a body that is too large with a bare 400 and a connection too many
-with a wait; here both are refused in the form that all refusals have, so that a
-caller knows that nothing ran and when to come back::
+Tornado answers a body that is too large with a bare 400, and makes excess connections
+wait. This server refuses both in the usual form of refusals, which tells the caller
+that nothing ran and when to retry::
 
     server = CallerServer(application, settings=settings)
     server.add_sockets(sockets)
@@ -20,26 +20,26 @@
 from .sinks import failure_fields
 
 RETRY_AFTER_S = 1.0
-# A refused connection is kept until its caller has read the answer: closing with
-# unread bytes of the caller resets it, and the answer may be lost with it.
+# A refused connection stays open for at most this long, until its caller has read
+# the answer. Closing it with unread input resets it, which may lose the answer.
 LINGER_S = 1.0
-MOST_LINGERING = 64
+MAX_LINGERING = 64
 UNLIMITED = 1 << 60
 
 
 class CallerServer(HTTPServer):
-    """An HTTP server with bounds on connections, heads and bodies."""
+    """An HTTP server with limits on connections, heads and bodies."""
 
     def initialize(self, application, *, settings, ssl_options=None):
-        """Take the limits; a head or a body comes whole in ``CALLER_SILENT_S``."""
+        """Set the limits; a head or body must arrive within ``CALLER_SILENT_S``."""
         super().initialize(
             application,
             ssl_options=ssl_options,
             idle_connection_timeout=settings["CALLER_SILENT_S"],
             body_timeout=settings["CALLER_SILENT_S"],
         )
-        self._most_connections = settings["MAX_CONNECTIONS"]
-        self._most_bytes = settings["MAX_BODY_BYTES"]
+        self._max_connections = settings["MAX_CONNECTIONS"]
+        self._max_bytes = settings["MAX_BODY_BYTES"]
         self._lingering: set[asyncio.Task] = set()
 
     @property
@@ -48,36 +48,36 @@
         return len(self._connections)
 
     def handle_stream(self, stream, address):
-        """Serve a new connection, or refuse it at once where there are too many."""
-        if len(self._connections) < self._most_connections:
+        """Serve a new connection, or refuse it at once if there are too many."""
+        if len(self._connections) < self._max_connections:
             super().handle_stream(stream, address)
             return
-        # A handshake would cost more than what the refusal is to save.
+        # A TLS handshake would cost more than the refusal saves.
         encrypted = isinstance(stream, SSLIOStream)
-        if encrypted or len(self._lingering) >= MOST_LINGERING:
+        if encrypted or len(self._lingering) >= MAX_LINGERING:
             stream.close()
             return
-        task = asyncio.ensure_future(self._turn_away(stream))
+        task = asyncio.ensure_future(self._refuse_connection(stream))
         self._lingering.add(task)
         task.add_done_callback(self._lingering.discard)
 
     def start_request(self, server_conn, request_conn):
-        """Guard one request's body."""
-        # The guard counts by itself, since its refusal says what was wrong.
+        """Limit the size of one request's body."""
+        # The guard counts the bytes itself, to refuse with a detailed answer.
         request_conn.set_max_body_size(UNLIMITED)
         inner = super().start_request(server_conn, request_conn)
-        return _BodyGuard(inner, request_conn, self._most_bytes)
+        return _BodyGuard(inner, request_conn, self._max_bytes)
 
-    async def _turn_away(self, stream) -> None:
-        detail = f"{self._most_connections} connections are open on this VM"
+    async def _refuse_connection(self, stream) -> None:
+        detail = f"{self._max_connections} connections are open on this VM"
         failure = Failure(ErrorKind.OVERLOADED, detail, RETRY_AFTER_S)
-        headers, body = _answer(failure)
+        headers, body = _refusal_response(failure)
         lines = [f"HTTP/1.1 {failure.answer.status} Overloaded"]
         lines += [f"{name}: {value}" for name, value in headers.get_all()]
         try:
             await stream.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
             stream.socket.shutdown(socket.SHUT_WR)
-            await asyncio.wait_for(_drop_all(stream), LINGER_S)
+            await asyncio.wait_for(_discard_input(stream), LINGER_S)
         except (OSError, StreamClosedError, TimeoutError):
             pass
         finally:
@@ -85,30 +85,34 @@
 
 
 class _BodyGuard(httputil.HTTPMessageDelegate):
-    """Hands a request on until its body is too large, then refuses it.
+    """Forwards a request until its body is too large, then refuses it.
 
-    What still comes is read and dropped for as long as a body may take.
+    Later input is read and discarded until the time limit for a body.
     """
 
-    def __init__(self, inner, connection, most_bytes: int):
+    def __init__(self, inner, connection, max_bytes: int):
         self._inner = inner
         self._connection = connection
-        self._most_bytes = most_bytes
-        self._read = 0
+        self._max_bytes = max_bytes
+        self._received = 0
         self._refused = False
 
     def headers_received(self, start_line, headers):
-        named = headers.get("Content-Length", "0")
-        if named.isascii() and named.isdigit() and int(named) > self._most_bytes:
+        content_length = headers.get("Content-Length", "0")
+        if (
+            content_length.isascii()
+            and content_length.isdigit()
+            and int(content_length) > self._max_bytes
+        ):
             self._refuse()
             return None
         return self._inner.headers_received(start_line, headers)
 
     def data_received(self, chunk):
-        self._read += len(chunk)
+        self._received += len(chunk)
         if self._refused:
             return None
-        if self._read > self._most_bytes:
+        if self._received > self._max_bytes:
             self._inner.on_connection_close()
             self._refuse()
             return None
@@ -124,20 +128,20 @@
 
     def _refuse(self) -> None:
         self._refused = True
-        detail = f"the body is over {self._most_bytes} bytes"
+        detail = f"the body is over {self._max_bytes} bytes"
         failure = Failure(ErrorKind.TOO_LARGE, detail)
-        headers, body = _answer(failure)
+        headers, body = _refusal_response(failure)
         start = httputil.ResponseStartLine("HTTP/1.1", failure.answer.status, "Refused")
         self._connection.write_headers(start, headers, body)
         self._connection.finish()
 
 
-async def _drop_all(stream) -> None:
+async def _discard_input(stream) -> None:
     while True:
         await stream.read_bytes(65536, partial=True)
 
 
-def _answer(failure: Failure) -> tuple[httputil.HTTPHeaders, bytes]:
+def _refusal_response(failure: Failure) -> tuple[httputil.HTTPHeaders, bytes]:
     body = json.dumps(failure_fields(failure, "")).encode()
     headers = httputil.HTTPHeaders({"Content-Type": "application/json"})
     headers["Content-Length"] = str(len(body))
--- a/hawthornlead/callers/command_handlers.py
+++ b/hawthornlead/callers/command_handlers.py
@@ -1,4 +1,4 @@
-"""HTTP towards callers: the requests that make a target do something."""
+"""HTTP handlers for callers: completions and calls to plain services."""
 
 import json
 import secrets
@@ -29,7 +29,7 @@
 
 
 class CallerParts(NamedTuple):
-    """The parts that the handlers for callers work with."""
+    """The parts that the handlers for callers use."""
 
     settings: Settings
     timers: TimerService
@@ -39,18 +39,18 @@
     drain: Drain
 
 
-class Asker(NamedTuple):
-    """Who asks, and the bundle in force that says so."""
+class Requester(NamedTuple):
+    """The authenticated caller, and the bundle in force that defines it."""
 
     caller: CallerTerms
     in_force: InForce
 
 
 class HeaderTerms(NamedTuple):
-    """What the headers of a request say of how it is to run.
+    """The terms of a request from its headers.
 
     ``deadline_at`` is on the timer service's clock, ``key_issued_at`` in seconds
-    since the epoch by the caller's; ``key`` is empty where the request has none.
+    since the epoch by the caller's; ``key`` is empty if the request has none.
     """
 
     deadline_at: float
@@ -60,27 +60,27 @@
 
 
 class CallerHandler(RequestHandler):
-    """What all handlers for callers share: who asks, until when, how errors look."""
+    """Base of the handlers for callers: authentication, headers and refusals."""
 
     def initialize(self, parts: CallerParts) -> None:
-        """Take the parts that the daemon built."""
+        """Set the parts that the daemon built."""
         self._parts = parts
         self._request_id = secrets.token_hex(8)
         self._sink = None
 
     def prepare(self) -> None:
-        """Refuse what no route may read."""
+        """Refuse requests with too many headers, whatever their route."""
         self.set_header(REQUEST_ID_HEADER, self._request_id)
         if len(self.request.headers) > self._parts.settings["MAX_HEADERS"]:
             self.refuse(Failure(ErrorKind.TOO_LARGE, "too many headers"))
 
     def on_connection_close(self) -> None:
-        """Note that the caller has left, so that its run is cancelled."""
+        """Mark the caller as gone, which cancels its run."""
         if self._sink is not None:
-            self._sink.leave()
+            self._sink.mark_gone()
 
     def refuse(self, failure: Failure) -> None:
-        """Answer a failure at once, with when to come back where that helps."""
+        """Answer with a failure, and with a Retry-After if the failure names one."""
         self.set_status(failure.answer.status)
         if failure.retry_after_s is not None:
             seconds = max(1, round(failure.retry_after_s + 0.5))
@@ -88,26 +88,26 @@
         self.set_header("Content-Type", "application/json")
         fields = failure_fields(failure, self._request_id)
         if KEY_HEADER in self.request.headers and not failure.claim_read:
-            # Guards against "not run" being read as said of the key (CLM-6): the
-            # claim was not read, and an earlier try may be running.
+            # "not run" holds for this try only, not for the key (CLM-6): the claim was
+            # not read, and an earlier try may be running.
             fields["other_tries"] = "unknown"
         self.finish(json.dumps(fields))
 
     def log_exception(self, kind, value, traceback) -> None:
-        """Leave out a caller's going away, which is no error of this VM."""
+        """Log exceptions except disconnects, which are no error of this VM."""
         if not isinstance(value, StreamClosedError):
             super().log_exception(kind, value, traceback)
 
     def write_error(self, status_code: int, **kwargs) -> None:
-        """Answer what tornado or a bug refuses in the form of all refusals."""
+        """Answer errors of tornado and bugs in the usual form of refusals."""
         kind = ErrorKind.BAD_REQUEST if status_code < 500 else ErrorKind.INTERNAL
         self.refuse(Failure(kind, f"{self.request.method}: {self._reason}"))
 
-    def asker(self) -> Result[Asker, Failure]:
-        """Return who asks by its token, under the bundle in force."""
-        drains = self._parts.drain.refusal()
-        if drains is not None:
-            return Err(drains)
+    def requester(self) -> Result[Requester, Failure]:
+        """Authenticate the caller by its token under the bundle in force."""
+        draining = self._parts.drain.refusal()
+        if draining is not None:
+            return Err(draining)
         serving = self._parts.keeper.may_serve()
         if isinstance(serving, Err):
             return serving
@@ -117,10 +117,10 @@
         caller = serving.ok_value.bundle.caller_of(token.strip())
         if caller is None:
             return Err(Failure(ErrorKind.UNAUTHENTICATED, "no caller has this token"))
-        return Ok(Asker(caller, serving.ok_value))
+        return Ok(Requester(caller, serving.ok_value))
 
     def header_terms(self, caller: CallerTerms) -> Result[HeaderTerms, Failure]:
-        """Return what the headers ask for, or what is wrong with the first of them."""
+        """Return the terms in the headers, or the failure of the first invalid one."""
         checks = (
             self.deadline_at(),
             self.priority(caller),
@@ -141,25 +141,29 @@
             highest = int(settings["MAX_DEADLINE_S"] * 1000)
             number = _whole_number(text, 1, highest)
             if number is None:
-                return Err(_bad(f"{DEADLINE_HEADER}: 1 to {highest}, not {text!r}"))
+                return Err(
+                    _bad_request(f"{DEADLINE_HEADER}: 1 to {highest}, not {text!r}")
+                )
             deadline_s = number / 1000
         return Ok(self._parts.timers.now() + deadline_s)
 
     def priority(self, caller: CallerTerms) -> Result[int, Failure]:
-        """Return the request's priority; it can lower its caller's, not raise it."""
+        """Return the request's priority, which is at most its caller's."""
         text = self.request.headers.get(PRIORITY_HEADER)
         if text is None:
             return Ok(caller.priority)
         number = _whole_number(text, 0, 9)
         if number is None:
-            return Err(_bad(f"{PRIORITY_HEADER}: 0 to 9, not {text!r}"))
+            return Err(_bad_request(f"{PRIORITY_HEADER}: 0 to 9, not {text!r}"))
         return Ok(min(number, caller.priority))
 
     def key(self) -> Result[str, Failure]:
-        """Return the idempotency key, empty where the request has none."""
+        """Return the idempotency key, empty if the request has none."""
         key = self.request.headers.get(KEY_HEADER, "")
         if len(key) > MAX_KEY_LENGTH:
-            return Err(_bad(f"{KEY_HEADER}: at most {MAX_KEY_LENGTH} characters"))
+            return Err(
+                _bad_request(f"{KEY_HEADER}: at most {MAX_KEY_LENGTH} characters")
+            )
         return Ok(key)
 
     def key_issued_at(self) -> Result[float | None, Failure]:
@@ -169,7 +173,9 @@
             return Ok(None)
         number = _whole_number(text, 0, MAX_EPOCH_MS)
         if number is None:
-            return Err(_bad(f"{KEY_ISSUED_HEADER}: milliseconds since the epoch"))
+            return Err(
+                _bad_request(f"{KEY_ISSUED_HEADER}: milliseconds since the epoch")
+            )
         return Ok(number / 1000)
 
 
@@ -187,21 +193,21 @@
 
     async def post(self) -> None:
         """Serve one request, streamed or whole."""
-        made = self._make_request()
-        if isinstance(made, Err):
-            self.refuse(made.err_value)
+        built = self._build_request()
+        if isinstance(built, Err):
+            self.refuse(built.err_value)
             return
-        request, body = made.ok_value
+        request, body = built.ok_value
         if body.stream:
             await self._stream(request)
         else:
             await self._collect(request)
 
-    def _make_request(self) -> Result[tuple[CallerRequest, CompletionBody], Failure]:
-        asked = self.asker()
-        if isinstance(asked, Err):
-            return asked
-        caller, in_force = asked.ok_value
+    def _build_request(self) -> Result[tuple[CallerRequest, CompletionBody], Failure]:
+        requester = self.requester()
+        if isinstance(requester, Err):
+            return requester
+        caller, in_force = requester.ok_value
         body = read_completion(self.request.body)
         if isinstance(body, Err):
             return body
@@ -256,7 +262,7 @@
             self._replay(outcome.ok_value)
             return
         self.set_header("Content-Type", "application/json")
-        await self.finish(sink.recorded())
+        await self.finish(sink.recorded_body())
 
     def _replay(self, recorded) -> None:
         """Answer with the recorded outcome of the first try."""
@@ -287,11 +293,11 @@
         await self._call(service, path)
 
     async def _call(self, service: str, path: str) -> None:
-        made = self._make_call(service, "/" + path)
-        if isinstance(made, Err):
-            self.refuse(made.err_value)
+        built = self._build_call(service, "/" + path)
+        if isinstance(built, Err):
+            self.refuse(built.err_value)
             return
-        outcome = await self._parts.services.serve(made.ok_value)
+        outcome = await self._parts.services.serve(built.ok_value)
         if isinstance(outcome, Err):
             self.refuse(outcome.err_value)
             return
@@ -303,11 +309,11 @@
             self.set_header("Hawthornlead-Replayed", "true")
         self.finish(answer.body)
 
-    def _make_call(self, service: str, path: str) -> Result[ServiceCall, Failure]:
-        asked = self.asker()
-        if isinstance(asked, Err):
-            return asked
-        caller, in_force = asked.ok_value
+    def _build_call(self, service: str, path: str) -> Result[ServiceCall, Failure]:
+        requester = self.requester()
+        if isinstance(requester, Err):
+            return requester
+        caller, in_force = requester.ok_value
         method = self.request.method
         assigned = in_force.bundle.service_call(caller, service, method, path)
         if isinstance(assigned, Err):
@@ -317,7 +323,9 @@
             return headers
         repeatable, terms = assigned.ok_value.repeatable, headers.ok_value
         if not repeatable and not terms.key:
-            return Err(_bad(f"{KEY_HEADER} is needed: this call may not be repeated"))
+            return Err(
+                _bad_request(f"{KEY_HEADER} is needed: this call may not be repeated")
+            )
         target_path = path
         if self.request.query:
             target_path += "?" + self.request.query
@@ -339,7 +347,7 @@
 
 
 class UnknownHandler(RequestHandler):
-    """Any other path: a refusal in the same form as all others."""
+    """Any other path: refused in the usual form of refusals."""
 
     def prepare(self) -> None:
         """Answer that there is no such route."""
@@ -354,22 +362,22 @@
     try:
         fields = json.loads(body)
     except ValueError as error:
-        return Err(_bad(f"the body is not JSON: {error}"))
+        return Err(_bad_request(f"the body is not JSON: {error}"))
     if not isinstance(fields, dict):
-        return Err(_bad("the body is not a JSON object"))
+        return Err(_bad_request("the body is not a JSON object"))
     unknown = sorted(set(fields) - {"model", "prompt", "max_tokens", "stream"})
     if unknown:
-        return Err(_bad(f"unknown fields: {', '.join(unknown)}"))
+        return Err(_bad_request(f"unknown fields: {', '.join(unknown)}"))
     alias, prompt = fields.get("model"), fields.get("prompt")
     max_tokens, stream = fields.get("max_tokens", 256), fields.get("stream", False)
     if not isinstance(alias, str) or not alias:
-        return Err(_bad("model: the name of an adapter, a string"))
+        return Err(_bad_request("model: the name of an adapter, a string"))
     if not isinstance(prompt, str):
-        return Err(_bad("prompt: a string"))
+        return Err(_bad_request("prompt: a string"))
     if type(max_tokens) is not int or not 1 <= max_tokens <= MAX_TOKENS:
-        return Err(_bad(f"max_tokens: 1 to {MAX_TOKENS}"))
+        return Err(_bad_request(f"max_tokens: 1 to {MAX_TOKENS}"))
     if not isinstance(stream, bool):
-        return Err(_bad("stream: true or false"))
+        return Err(_bad_request("stream: true or false"))
     return Ok(CompletionBody(alias, prompt, max_tokens, stream))
 
 
@@ -387,5 +395,5 @@
     return int(text)
 
 
-def _bad(detail: str) -> Failure:
+def _bad_request(detail: str) -> Failure:
     return Failure(ErrorKind.BAD_REQUEST, detail)
--- a/hawthornlead/callers/drains.py
+++ b/hawthornlead/callers/drains.py
@@ -1,8 +1,8 @@
-"""Draining a VM: leave the entry answers first, cut off nothing, then stop.
+"""Draining a VM: it leaves the entry answers, finishes its requests, then stops.
 
-Callers keep an entry answer for a while and go on to connect here. So new requests
-are served until the kept answers have run out; only then are they refused, with the
-addresses of other VMs; and what is in flight is waited for.
+Callers cache an entry answer and keep connecting to the addresses in it. New requests
+are therefore served until the cached answers have expired, and only then refused with
+the addresses of other VMs. Requests in flight are completed.
 """
 
 from ..core_parts import CoreParts
@@ -16,7 +16,7 @@
 
 
 class Drain:
-    """The draining of this VM's process."""
+    """Drains this VM's process."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         self._refusing = False
 
     def refusal(self) -> Failure | None:
-        """Return the refusal of a new request, None while requests are taken."""
+        """Return the refusal of a new request, None while requests are accepted."""
         if not self._refusing:
             return None
         own = self._settings["CALLER_ADDRESS"]
@@ -45,8 +45,8 @@
         """Drain: return when nothing is in flight, or after ``DRAIN_S`` seconds."""
         self._members.start_draining()
         self._events.emit(EventKind.PROCESS_DRAINING, self._settings["VM_NAME"])
-        # An answer given just before may be kept a little longer than ENTRY_KEEP_S,
-        # since it is jittered; a caller refused then is told another address.
+        # Callers may cache an answer given just before a little longer than
+        # ENTRY_KEEP_S, which is jittered. A caller refused then gets other addresses.
         await self._timers.sleep(self._settings["ENTRY_KEEP_S"])
         self._refusing = True
         until = self._timers.now() + self._settings["DRAIN_S"]
--- a/hawthornlead/callers/relays.py
+++ b/hawthornlead/callers/relays.py
@@ -1,9 +1,9 @@
-"""Answers on their way from a target to a caller: whole, once, and the right one.
+"""Checks that an answer relayed to a caller is the right one, complete and not doubled.
 
-An ``AnswerCheck`` reads what the guarantees need and no more: the first event names
-attempt, adapter and version; token events are counted and their indexes compared
-with the offset; the end marker must name the same count. What passes is handed on
-as bytes, so that relaying costs no parsing per token.
+An ``AnswerCheck`` parses only what these guarantees need: the first event must name
+the attempt, adapter and version; token events are counted and their indexes compared
+with the offset; the end marker must name the same count. Events that pass are
+forwarded as bytes, so relaying needs no parsing per token.
 """
 
 import json
@@ -32,15 +32,15 @@
 
     @property
     def named(self) -> tuple[str, str, str, int]:
-        """What the first event of the answer has to name."""
+        """The values that the first event of the answer must name."""
         return self.attempt_id, self.adapter, self.version, self.offset
 
 
 class AnswerCheck:
-    """Checks the event stream of one attempt as it comes, in order.
+    """Checks the event stream of one attempt as it arrives.
 
-    ``feed`` returns the token events that may go on to the caller. After an error
-    nothing more of this attempt may be handed on.
+    ``feed`` returns the token events that may be forwarded to the caller. After an
+    error nothing more of this attempt may be forwarded.
     """
 
     def __init__(self, expected: Expected):
@@ -52,26 +52,26 @@
 
     @property
     def expected(self) -> Expected:
-        """What the answer has to name."""
+        """The values that the answer must name."""
         return self._expected
 
     @property
     def named(self) -> tuple[str, str, str, int] | None:
-        """What the answer names itself, None before its first event."""
+        """The values that the answer names, None before its first event."""
         return self._named
 
     @property
     def next_index(self) -> int:
-        """The index of the next token: where a resumed attempt has to begin."""
+        """The index of the next token, at which a resumed attempt must start."""
         return self._next_index
 
     @property
     def done(self) -> bool:
-        """Whether the end marker came and its count was right."""
+        """Whether the end marker arrived with the right count."""
         return self._done
 
     def feed(self, data: bytes) -> Result[bytes, Failure]:
-        """Take bytes from the target; return the whole token events among them."""
+        """Add bytes from the target; return the whole token events among them."""
         data = self._rest + data
         end = data.rfind(EVENT_END)
         if end < 0:
@@ -96,9 +96,9 @@
             found = (first["id"], first["adapter"], first["version"], first["offset"])
         except (ValueError, KeyError, TypeError):
             return Err(_wrong("the first event names no attempt"))
-        wanted = self._expected.named
-        if found != wanted:
-            return Err(_wrong(f"the answer is of {found}, not of {wanted}"))
+        required = self._expected.named
+        if found != required:
+            return Err(_wrong(f"the answer is of {found}, not of {required}"))
         self._named = found
         return Ok(events[end + len(EVENT_END) :])
 
@@ -117,17 +117,17 @@
             return Ok(tokens)
         ended = self._check_marker(marker)
         if ended is not None:
-            # The tokens before a false marker are not handed on either. Counted as
-            # handed on, they would be missing from the answer that is resumed.
+            # The tokens before a wrong marker are not forwarded either. If they were
+            # counted, they would be missing from the resumed answer.
             self._next_index = before
             return Err(ended)
         return Ok(tokens)
 
     def _count_tokens(self, tokens: bytes) -> Result[None, Failure]:
-        """Compare the first and last index with the number of events between.
+        """Compare the first and last index with the number of events.
 
-        This guards against tokens doubled or lost on the way: with both ends and
-        the count right, an error would need two faults that cancel out.
+        This detects tokens doubled or lost in transit: with both ends and the count
+        right, only two faults that cancel out go unnoticed.
         """
         count = tokens.count(EVENT_END)
         first = _INDEX.match(tokens)
@@ -136,10 +136,10 @@
         last = _INDEX.match(tokens, last_start)
         if first is None or last is None:
             return Err(_wrong("an event that is no token"))
-        wanted = (self._next_index, self._next_index + count - 1)
+        required = (self._next_index, self._next_index + count - 1)
         found = (int(first[1]), int(last[1]))
-        if found != wanted:
-            return Err(_wrong(f"tokens {found} where {wanted} were due"))
+        if found != required:
+            return Err(_wrong(f"tokens {found} where {required} were due"))
         self._next_index += count
         return Ok(None)
 
--- a/hawthornlead/callers/requests.py
+++ b/hawthornlead/callers/requests.py
@@ -219,7 +219,7 @@
         failure = await self._try_targets(request, assignment, sink)
         if failure is None:
             # A streamed answer is not stored: a later try learns only that it ran.
-            body = sink.recorded()
+            body = sink.recorded_body()
             outcome = Outcome(DONE, 200, "application/json" if body else "", body)
         else:
             failure = failure._replace(claim_read=True)
--- a/hawthornlead/callers/service_calls.py
+++ b/hawthornlead/callers/service_calls.py
@@ -1,8 +1,8 @@
-"""The path of a call to a plain service beside the model engines.
+"""The path of a call to a plain service, which runs beside the model engines.
 
-A call that may not be repeated runs under a claim on its idempotency key and is
-sent once, on a fresh connection. A call that may be repeated is retried within the
-same budget as requests for adapters.
+A call that must not be repeated runs under a claim on its idempotency key and is sent
+once, on a new connection. A repeatable call is retried within the same retry budget
+as adapter requests.
 """
 
 import asyncio
@@ -26,11 +26,11 @@
 from .sent_attempts import SentAttempts
 
 ATTEMPT_HEADER = "Hawthornlead-Attempt"
-MAX_SERVICE_ANSWER = 8 << 20
+MAX_SERVICE_ANSWER_BYTES = 8 << 20
 
 
 class ServiceCall(NamedTuple):
-    """One call to a plain service; ``deadline_at`` is on the service's clock."""
+    """One call to a plain service; ``deadline_at`` is on the timer service's clock."""
 
     request_id: str
     caller: CallerTerms
@@ -47,13 +47,13 @@
 
     @property
     def fingerprint(self) -> bytes:
-        """What two tries of the same call have in common."""
+        """A hash that is equal for all tries of the same call."""
         text = f"{self.caller.name}\n{self.service}\n{self.method}\n{self.path}\n"
         return hashlib.blake2b(text.encode() + self.body, digest_size=16).digest()
 
 
 class ServiceAnswer(NamedTuple):
-    """The whole answer of a service."""
+    """The complete answer of a service."""
 
     status: int
     content_type: str
@@ -62,8 +62,8 @@
     replayed: bool = False
 
 
-class _Body:
-    """Gathers an answer's body; one that is too large is broken off, not kept."""
+class _BodyBuffer:
+    """Buffers an answer's body; closes the exchange if it grows too large."""
 
     def __init__(self, exchange):
         self._exchange = exchange
@@ -72,12 +72,12 @@
 
     @property
     def content(self) -> bytes:
-        """The bytes gathered."""
+        """The bytes received."""
         return bytes(self._content)
 
-    def take(self, data: bytes) -> None:
-        """Take bytes of the body, from the exchange."""
-        if len(self._content) + len(data) > MAX_SERVICE_ANSWER:
+    def on_data(self, data: bytes) -> None:
+        """Handle bytes of the body, called by the exchange."""
+        if len(self._content) + len(data) > MAX_SERVICE_ANSWER_BYTES:
             self.too_large = True
             self._exchange.close()
             return
@@ -114,7 +114,7 @@
         self._open: dict[str, int] = {}
 
     async def serve(self, call: ServiceCall) -> Result[ServiceAnswer, Failure]:
-        """Serve one call; every error tells the truth about the run by its kind."""
+        """Serve one call; an error's kind states whether the call may have run."""
         admitted = self._admissions.admit(call.caller, call.priority)
         if isinstance(admitted, Err):
             return self._outcomes.record_refusal(call.request_id, admitted.err_value)
@@ -178,7 +178,7 @@
         return allowed and await self._retries.wait(number, call.deadline_at)
 
     async def _attempt(self, call, number: int, tried: set[str]):
-        entry = self._choose(call.service, tried)
+        entry = self._choose_target(call.service, tried)
         if entry is None:
             return Err(
                 Failure(ErrorKind.NO_TARGET, f"no target runs {call.service}", 1.0)
@@ -187,9 +187,9 @@
         left = call.deadline_at - self._timers.now()
         if left <= 0:
             return Err(Failure(ErrorKind.TOO_LATE_TO_START, "no time is left to run"))
-        # A reused connection may be closed by the target just as the call is
-        # written into it, which leaves in doubt whether it ran: a call that may not
-        # be repeated gets a fresh one.
+        # A target may close a reused connection just as the call is written, so that
+        # it is unknown whether the call ran. A call that must not be repeated
+        # therefore gets a new connection.
         fresh = not call.repeatable or number > 1
         opened = await self._connections.open(entry.address, fresh=fresh)
         if isinstance(opened, Err):
@@ -209,25 +209,25 @@
             headers["Content-Type"] = call.content_type
         if call.key:
             headers["Idempotency-Key"] = call.key
-        # Guards against a process that was frozen while it connected and sends after
-        # its caller was answered, when a later try may hold the key (CLM-9): it
-        # shows as a doubled call. Nothing is awaited between this and the send, and
-        # claims are kept for twice the longest deadline.
+        # The process may have been frozen while it connected. Sent after its caller
+        # was answered, the call could run twice, since a later try may hold the key
+        # (CLM-9). Nothing is awaited between this check and the send, and claims are
+        # kept for twice the longest deadline.
         left = call.deadline_at - self._timers.now()
         if left <= 0:
             return Err(Failure(ErrorKind.TOO_LATE_TO_START, "no time is left to run"))
         self._events.emit(EventKind.REQUEST_SENT, attempt_id, target=entry.name)
-        body = _Body(exchange)
+        body = _BodyBuffer(exchange)
         silent_s = max(0.001, min(left, self._settings["STREAM_SILENT_S"]))
         self._sent.record_send(call.request_id, at_most_once=not call.repeatable)
         sent = await exchange.send(
-            call.method, call.path, headers, call.body, body.take, silent_s
+            call.method, call.path, headers, call.body, body.on_data, silent_s
         )
         ended = sent
         if isinstance(sent, Ok):
             ended = await self._read(call, exchange, silent_s)
         if body.too_large:
-            detail = f"{entry.name} answered more than {MAX_SERVICE_ANSWER} bytes"
+            detail = f"{entry.name} answered more than {MAX_SERVICE_ANSWER_BYTES} bytes"
             return Err(Failure(ErrorKind.ANSWER_CUT, detail))
         if isinstance(ended, Err):
             return Err(self._timed_out(call, ended.err_value))
@@ -239,19 +239,21 @@
         if head.status >= 500:
             detail = f"{entry.name} answered {head.status}"
             return Err(Failure(ErrorKind.TARGET_LOST, detail))
-        # An answer that names another attempt is another caller's: it was crossed.
-        named = head.headers.get(ATTEMPT_HEADER, attempt_id)
-        if named != attempt_id:
-            self._events.emit(EventKind.ANSWER_DROPPED, attempt_id, named=named)
+        # An answer that names another attempt belongs to another caller.
+        answered_id = head.headers.get(ATTEMPT_HEADER, attempt_id)
+        if answered_id != attempt_id:
+            self._events.emit(
+                EventKind.ANSWER_DROPPED, attempt_id, answered_id=answered_id
+            )
             return Err(Failure(ErrorKind.WRONG_ANSWER, "the answer was crossed"))
         content_type = head.headers.get("Content-Type", "application/octet-stream")
         return Ok(ServiceAnswer(head.status, content_type, body.content, entry.name))
 
     async def _read(self, call, exchange, silent_s: float) -> Result[None, Failure]:
-        """Read the answer to its end or the deadline.
+        """Read the answer until its end or the deadline.
 
-        Guards against a service that sends a byte now and then: it is never silent,
-        and would hold its caller's request for good.
+        A service that sends a byte now and then is never silent: without the deadline
+        it would keep its caller's request open forever.
         """
         left = max(0.001, call.deadline_at - self._timers.now())
         try:
@@ -265,8 +267,8 @@
             return failure
         return Failure(ErrorKind.DEADLINE_PASSED, failure.detail)
 
-    def _choose(self, service: str, tried: set[str]) -> VmEntry | None:
-        """Return the target with the fewest open calls among two at random."""
+    def _choose_target(self, service: str, tried: set[str]) -> VmEntry | None:
+        """Return the one of two random targets that has fewer open calls."""
         live = [entry for entry in self._vm_list.services(service)]
         usable = [entry for entry in live if entry.state == "live"]
         fresh = [entry for entry in usable if entry.name not in tried] or usable
--- a/hawthornlead/callers/sinks.py
+++ b/hawthornlead/callers/sinks.py
@@ -1,4 +1,4 @@
-"""Where answers go: a caller's event stream, or a buffer for a whole answer."""
+"""Destinations of answers: a caller's event stream, or a buffer for a whole answer."""
 
 import asyncio
 import json
@@ -18,7 +18,7 @@
 
 
 def head_fields(head: AnswerHead) -> dict:
-    """Return the fields that name what gave an answer."""
+    """Return the fields that say where an answer comes from."""
     return {
         "id": head.request_id,
         "adapter": head.adapter,
@@ -41,7 +41,7 @@
 
 
 class CollectingSink:
-    """Keeps an answer until it is whole, for a caller that asked for no stream."""
+    """Buffers an answer until it is complete, for a caller that requested no stream."""
 
     def __init__(self):
         self._head: AnswerHead | None = None
@@ -55,27 +55,27 @@
 
     @property
     def started(self) -> bool:
-        """Whether a part of the answer has gone to the caller: never."""
+        """Whether part of the answer was sent to the caller: never."""
         return False
 
     @property
     def count(self) -> int:
-        """How many tokens were taken."""
+        """How many tokens were written to this sink."""
         return len(self._texts)
 
     def set_head(self, head: AnswerHead) -> None:
-        """Note what gives the answer; a later attempt's head replaces it."""
+        """Set where the answer comes from; a later attempt's head replaces it."""
         self._head = head
 
     def write(self, events: bytes) -> None:
-        """Keep whole token events."""
+        """Buffer whole token events."""
         self._texts.extend(token_texts(events))
 
-    def leave(self) -> None:
-        """Note that the caller has left."""
+    def mark_gone(self) -> None:
+        """Mark the caller as gone."""
         self._gone = True
 
-    def recorded(self) -> bytes:
+    def recorded_body(self) -> bytes:
         """Return the whole answer as the body of a response."""
         fields = head_fields(self._head)
         fields["text"] = "".join(self._texts)
@@ -84,18 +84,18 @@
 
 
 class StreamSink:
-    """Hands an answer on to its caller as server-sent events.
+    """Streams an answer to its caller as server-sent events.
 
-    Events that come within ``gather_s`` seconds go out in one write, which costs
-    one system call for many tokens. A caller that does not read holds back the
-    target; after ``slow_s`` seconds it counts as gone.
+    Events that arrive within ``batch_s`` seconds are sent in one write, which costs
+    one system call for many tokens. A caller that does not read blocks reading from
+    the target; after ``stall_timeout_s`` seconds it counts as gone.
     """
 
-    def __init__(self, handler: RequestHandler, gather_s: float, slow_s: float):
+    def __init__(self, handler: RequestHandler, batch_s: float, stall_timeout_s: float):
         self._handler = handler
         self._stream = handler.request.connection.stream
-        self._gather_s = gather_s
-        self._slow_s = slow_s
+        self._batch_s = batch_s
+        self._stall_timeout_s = stall_timeout_s
         self._pending: list[bytes] = []
         self._timer: asyncio.TimerHandle | None = None
         self._started = False
@@ -110,21 +110,21 @@
 
     @property
     def started(self) -> bool:
-        """Whether a part of the answer has gone to the caller."""
+        """Whether part of the answer was sent to the caller."""
         return self._started
 
     @property
     def count(self) -> int:
-        """How many tokens were taken."""
+        """How many tokens were written to this sink."""
         return self._count
 
     def set_head(self, head: AnswerHead) -> None:
-        """Note what gives the answer; the caller is told with the first token."""
+        """Set where the answer comes from; sent to the caller with the first token."""
         if not self._started:
             self._head = head
 
     def write(self, events: bytes) -> Awaitable[None] | None:
-        """Take whole token events; the first go out at once."""
+        """Send whole token events, the first ones at once."""
         self._count += events.count(b"\n\n")
         if not self._started:
             self._start()
@@ -132,61 +132,61 @@
             return self._flush()
         self._pending.append(events)
         if self._stream.writing():
-            # The caller has not read what was sent before: hold back the target.
+            # The caller has not read what was sent before: pause reading the target.
             return self._flush()
         if self._timer is None:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(self._gather_s, self._flush_quietly)
+            self._timer = loop.call_later(self._batch_s, self._flush_in_background)
         return None
 
-    def leave(self) -> None:
-        """Note that the caller has left."""
+    def mark_gone(self) -> None:
+        """Mark the caller as gone."""
         self._gone = True
 
-    def recorded(self) -> bytes:
-        """Return what is kept of a streamed answer with its claim: nothing."""
+    def recorded_body(self) -> bytes:
+        """Return what the claim stores of a streamed answer: nothing."""
         return b""
 
     async def finish(self) -> None:
-        """Send what is left and the end marker, once the answer is whole."""
+        """Send what is pending and the end marker, once the answer is complete."""
         if not self._started:
             self._start()
         self._pending.append(event({"done": True, "count": self._count}))
-        await self._flushed()
+        await self._flush_and_wait()
 
     async def fail(self, failure: Failure, request_id: str) -> None:
-        """End a stream that has started with an error in place of the end marker."""
+        """End a started stream with an error in place of the end marker."""
         self._pending.append(
             b"event: error\n" + event(failure_fields(failure, request_id))
         )
-        await self._flushed()
+        await self._flush_and_wait()
 
     def _start(self) -> None:
         self._started = True
-        # Tornado sets this for whole answers only. Without it a write waits until
-        # the caller's system has acknowledged the one before, which many delay by
-        # 40 ms, so that tokens come in lumps.
+        # Tornado sets this only for whole answers. Without it a write waits until the
+        # caller's system has acknowledged the previous one, which many delay by
+        # 40 ms, so tokens would arrive in bursts.
         self._stream.set_nodelay(True)
         self._handler.set_header("Content-Type", "text/event-stream")
         self._handler.set_header("Cache-Control", "no-store")
         self._pending.append(event(head_fields(self._head) | {"offset": 0}))
 
-    def _flush_quietly(self) -> None:
-        # Nobody waits here: the next write finds what is still unread.
+    def _flush_in_background(self) -> None:
+        # Nothing waits for this write: the next one detects unread data.
         self._timer = None
         drained = self._flush()
         if drained is not None:
-            asyncio.ensure_future(drained).add_done_callback(_consume)
+            asyncio.ensure_future(drained).add_done_callback(_ignore_exception)
 
-    async def _flushed(self) -> None:
+    async def _flush_and_wait(self) -> None:
         drained = self._flush()
         if drained is not None:
             await drained
 
     def _flush(self) -> Awaitable[None] | None:
-        """Write what is pending; return what to wait for if the caller is slow.
+        """Write what is pending; return an awaitable if the caller is slow.
 
-        Nearly always the system takes a write whole, and there is nothing to wait
+        Usually the system accepts a write completely, and there is nothing to wait
         for.
         """
         if self._timer is not None:
@@ -204,16 +204,16 @@
         return self._drain() if self._stream.writing() else None
 
     async def _drain(self) -> None:
-        # An empty write ends when all before it have. The future of the handler's
-        # own flush can't be waited for: tornado keeps one for a connection, and a
-        # flush that comes while another waits leaves the first without an end, so
-        # that its waiter would take a caller that reads for gone.
+        # An empty write completes after all earlier ones. The future of the handler's
+        # own flush can't be awaited: tornado keeps one per connection, and a second
+        # flush during a pending one replaces it. The first would never complete, and
+        # a caller that reads would count as gone.
         try:
-            await asyncio.wait_for(self._stream.write(b""), self._slow_s)
+            await asyncio.wait_for(self._stream.write(b""), self._stall_timeout_s)
         except (StreamClosedError, TimeoutError):
             self._gone = True
 
 
-def _consume(task: asyncio.Task) -> None:
+def _ignore_exception(task: asyncio.Task) -> None:
     if not task.cancelled():
         task.exception()
--- a/hawthornlead/tests/test_service_calls.py
+++ b/hawthornlead/tests/test_service_calls.py
@@ -106,7 +106,7 @@
 
     It ran, so that the answer is not "not run", and the call is not sent again.
     """
-    monkeypatch.setattr(service_calls, "MAX_SERVICE_ANSWER", 10)
+    monkeypatch.setattr(service_calls, "MAX_SERVICE_ANSWER_BYTES", 10)
     site = Site(chunks=(b"12345", b"67890", b"!"))
     cut = (await site.call("r1", key="", repeatable=True)).err_value
     assert (cut.kind, cut.answer.ran) == (ErrorKind.ANSWER_CUT, Ran.MAY_HAVE_RUN)
