--- a/hawthornlead/tests/test_answer_invariants.py
+++ b/hawthornlead/tests/test_answer_invariants.py
@@ -53,7 +53,7 @@
     check = check_class(Expected("r.1", "tide", "3", 0))
     receiver = _Receiver(check, sink, _Exchange(), parts.metrics, parts.invariants)
     for chunk in chunks:
-        receiver.take(chunk)
+        receiver.on_data(chunk)
     return sink
 
 
