--- a/hawthornlead/gateway/caller_calls.py
+++ b/hawthornlead/gateway/caller_calls.py
@@ -1,8 +1,8 @@
-"""Requests of callers as they come in, and the ways to answer them.
+"""Incoming requests of callers, and their answers.
 
-Tornado reads and writes HTTP. A request is handed on once it was read whole::
+Tornado reads and writes HTTP. A request goes to the handler once it is read whole::
 
-    server = HTTPServer(CallerDispatcher(handle))
+    server = HTTPServer(CallerDispatcher(handle, now))
     async def handle(call): call.answer(200, "OK", headers, body)
 """
 
@@ -29,8 +29,8 @@
         self._ended = False
         self.gone: asyncio.Future = asyncio.get_running_loop().create_future()
         self.arrived_at = 0.0
-        # Whether the connection is closed with the answer, so that its caller asks for
-        # other addresses before its next request.
+        # Whether the connection closes with the answer, so that the caller resolves the
+        # addresses again before its next request.
         self.closing = False
 
     @property
@@ -55,7 +55,7 @@
 
     @property
     def answered(self) -> bool:
-        """Whether an answer was begun."""
+        """Whether an answer was started."""
         return self._answered
 
     @property
@@ -63,23 +63,23 @@
         """Whether the caller has closed its connection."""
         return self.gone.done()
 
-    def take(self, chunk: bytes) -> None:
-        """Take a piece of the request's body."""
+    def append_body(self, chunk: bytes) -> None:
+        """Append a chunk to the request's body."""
         self._parts.append(chunk)
 
     def mark_gone(self) -> None:
-        """Note that the caller has closed its connection."""
+        """Mark the caller's connection as closed."""
         if not self.gone.done():
             self.gone.set_result(None)
 
     def answer(self, status: int, reason: str, headers, body: bytes) -> None:
-        """Give a whole answer."""
+        """Send a complete answer."""
         headers["Content-Length"] = str(len(body))
         self.begin(status, reason, headers, body)
         self.finish()
 
     def begin(self, status: int, reason: str, headers, chunk: bytes) -> None:
-        """Begin an answer; without a length in ``headers`` it is sent in chunks."""
+        """Start an answer; without a length in ``headers`` it is sent in chunks."""
         self._answered = True
         if self.closing:
             headers["Connection"] = "close"
@@ -87,11 +87,11 @@
         self._connection.write_headers(start, headers, chunk or None)
 
     def write(self, chunk: bytes) -> None:
-        """Send a further piece."""
+        """Send a further chunk."""
         self._connection.write(chunk)
 
     def finish(self) -> None:
-        """End the answer as a whole one."""
+        """Complete the answer."""
         if self._ended:
             return
         self._ended = True
@@ -101,7 +101,7 @@
             stream.write(b"").add_done_callback(lambda _: stream.close())
 
     def abort(self) -> None:
-        """Break the answer off: its framing shows that it isn't whole."""
+        """Abort the answer: its framing shows that it is incomplete."""
         if self._ended:
             return
         self._ended = True
@@ -111,7 +111,7 @@
 
 
 class CallerDispatcher(httputil.HTTPServerConnectionDelegate):
-    """Hands whole requests to a handler, a task for each."""
+    """Dispatches complete requests to a handler, a task for each."""
 
     def __init__(self, handler: Handler, now: Callable[[], float]):
         self._handler = handler
@@ -126,53 +126,53 @@
 
     def start_request(self, server_conn, request_conn):
         """Read one request."""
-        return _Reading(self, request_conn)
+        return _CallReader(self, request_conn)
 
     def on_close(self, server_conn) -> None:
-        """Need nothing: each request notices the closing by itself."""
+        """Do nothing: each request detects the close by itself."""
 
-    def arrived(self) -> float:
-        """Count a request whose head has come, and return the moment."""
+    def on_arrival(self) -> float:
+        """Count a request whose head was received, and return the time."""
         self._open += 1
         return self._now()
 
-    def ended(self) -> None:
-        """Count a request that is over."""
+    def on_end(self) -> None:
+        """Uncount a request that is finished."""
         self._open -= 1
 
     def handle(self, call: CallerCall) -> None:
-        """Answer a request that was read whole."""
+        """Handle a complete request."""
         self._tasks.spawn(self._run(call))
 
     async def _run(self, call: CallerCall) -> None:
         try:
             await self._handler(call)
         except Exception:
-            # A bug in serving one request must not leave its caller without an end.
-            logger.exception("a request failed")
+            # After an unexpected error the caller's connection must still be closed.
+            logger.exception("unexpected error in the handler of a request")
             call.abort()
         finally:
-            self.ended()
+            self.on_end()
 
 
-class _Reading(httputil.HTTPMessageDelegate):
-    def __init__(self, entry: CallerDispatcher, connection):
-        self._entry = entry
+class _CallReader(httputil.HTTPMessageDelegate):
+    def __init__(self, dispatcher: CallerDispatcher, connection):
+        self._dispatcher = dispatcher
         self._connection = connection
         self._call: CallerCall | None = None
 
     def headers_received(self, start_line, headers):
         self._call = CallerCall(self._connection, start_line, headers)
-        self._call.arrived_at = self._entry.arrived()
+        self._call.arrived_at = self._dispatcher.on_arrival()
         self._connection.set_close_callback(self._call.mark_gone)
 
     def data_received(self, chunk):
-        self._call.take(chunk)
+        self._call.append_body(chunk)
 
     def finish(self):
-        self._entry.handle(self._call)
+        self._dispatcher.handle(self._call)
 
     def on_connection_close(self):
         if self._call is not None:
             self._call.mark_gone()
-            self._entry.ended()
+            self._dispatcher.on_end()
--- a/hawthornlead/gateway/entry_servers.py
+++ b/hawthornlead/gateway/entry_servers.py
@@ -1,4 +1,4 @@
-"""What is asked of a VM beside requests: addresses to use, readiness, metrics."""
+"""Servers for queries to a VM itself: entry addresses, readiness, metrics."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -13,7 +13,7 @@
 
 
 class Reply(NamedTuple):
-    """The answer to one question."""
+    """The answer to one query."""
 
     status: int
     body: bytes
@@ -33,10 +33,10 @@
     """
 
     def __init__(
-        self, address: str, questions: dict[str, Query], now: Callable[[], float]
+        self, address: str, queries: dict[str, Query], now: Callable[[], float]
     ):
         self._address = address
-        self._questions = questions
+        self._queries = queries
         self._server = HTTPServer(CallerDispatcher(self._handle, now))
 
     def start(self) -> None:
@@ -45,11 +45,11 @@
         self._server.add_sockets(bind_sockets(int(port), host))
 
     def stop(self) -> None:
-        """Take no further connections."""
+        """Accept no further connections."""
         self._server.stop()
 
     async def _handle(self, call: CallerCall) -> None:
-        question = self._questions.get(call.path.partition("?")[0])
-        reply = question() if question else Reply(404, b"{}")
+        query = self._queries.get(call.path.partition("?")[0])
+        reply = query() if query else Reply(404, b"{}")
         headers = httputil.HTTPHeaders({"Content-Type": reply.content_type})
         call.answer(reply.status, "OK", headers, reply.body)
--- a/hawthornlead/gateway/gateways.py
+++ b/hawthornlead/gateway/gateways.py
@@ -114,7 +114,7 @@
             max_header_size=MAX_HEADER_BYTES,
             max_body_size=MAX_BODY_BYTES,
         )
-        self._questions = self._make_questions()
+        self._query_servers = self._make_query_servers()
         self._mesh.set_heartbeat(self._heartbeat)
         self._mesh.on(Hello, self._on_hello)
         self._mesh.on_upstream_changed = self._note_feed
@@ -123,7 +123,7 @@
         """Listen, and begin to learn from the store and the other VMs."""
         host, _, port = self._settings["CALLER_ADDRESS"].rpartition(":")
         self._server.add_sockets(bind_sockets(int(port), host))
-        for server in self._questions:
+        for server in self._query_servers:
             server.start()
         await self._mesh.listen()
         self._mesh.start()
@@ -149,7 +149,7 @@
         """End everything; what is still open is cut off."""
         self._emit(EventKind.PROCESS_STOPPED, open=self._callers.open)
         self._server.stop()
-        for server in self._questions:
+        for server in self._query_servers:
             server.stop()
         for watcher in self._watchers.values():
             watcher.stop()
@@ -189,21 +189,21 @@
             return
         await forward.run()
 
-    def _make_questions(self) -> list[QueryServer]:
+    def _make_query_servers(self) -> list[QueryServer]:
         now = self._timers.now
-        questions = {}
+        queries = {}
         ready = self._settings["READY_ADDRESS"]
         directory = self._settings["DIRECTORY_ADDRESS"]
         metrics = self._settings["METRICS_ADDRESS"]
-        for address, path, question in (
+        for address, path, query in (
             (ready, READY_PATH, self._ready),
             (directory, RESOLVE_PATH, self._resolve),
-            (metrics, "/metrics", self._tell_metrics),
+            (metrics, "/metrics", self._read_metrics),
             (metrics, "/fleet", lambda: Reply(200, self._fleet_view.body())),
         ):
             if address:
-                questions.setdefault(address, {})[path] = question
-        return [QueryServer(at, asked, now) for at, asked in questions.items()]
+                queries.setdefault(address, {})[path] = query
+        return [QueryServer(at, asked, now) for at, asked in queries.items()]
 
     def _ready(self) -> Reply:
         return Reply(200 if self._memberships.serving else 503, b"{}")
@@ -213,7 +213,7 @@
         status = 200 if addresses else 503
         return Reply(status, addresses_body(addresses, KEEP_ANSWER_S))
 
-    def _tell_metrics(self) -> Reply:
+    def _read_metrics(self) -> Reply:
         return Reply(200, generate_latest(self._metrics.registry), "text/plain")
 
     # Beliefs
--- a/hawthornlead/gateway/routes.py
+++ b/hawthornlead/gateway/routes.py
@@ -1,7 +1,7 @@
-"""Which route a request takes: its host, then the longest prefix of its path.
+"""Route matching: by host, then by the longest prefix of the path.
 
-Prefixes begin and end with a slash, so that a path is cut at its slashes and looked up
-piece by piece: the cost grows with the path's depth and not with the routes::
+Prefixes start and end with a slash, so a path is cut at each slash and looked up. The
+cost grows with the depth of the path and not with the number of routes::
 
     table = RouteTable(configuration.routes)
     route = table.match("ficu95.example", "/lohu930/2f")
@@ -16,7 +16,7 @@
     """The routes of one configuration."""
 
     def __init__(self, routes: tuple[Route, ...]):
-        self._by_place = {(route.host, route.prefix): route for route in routes}
+        self._by_prefix = {(route.host, route.prefix): route for route in routes}
 
     def match(self, host: str, path: str) -> Route | None:
         """Return the route of a request, None if there is none.
@@ -27,7 +27,7 @@
         prefix = path.partition("?")[0]
         end = prefix.rfind("/")
         while end >= 0:
-            route = self._by_place.get((host, prefix[: end + 1]))
+            route = self._by_prefix.get((host, prefix[: end + 1]))
             if route is not None:
                 return route
             end = prefix.rfind("/", 0, end)
@@ -35,7 +35,7 @@
 
 
 def choose_service(route: Route, rng: Random) -> str:
-    """Return a service of the route, each as often as its weight says."""
+    """Return a random service of the route, in proportion to the weights."""
     if len(route.services) == 1:
         return route.services[0].service
     weights = [share.weight for share in route.services]
--- a/hawthornlead/gateway/run_times.py
+++ b/hawthornlead/gateway/run_times.py
@@ -1,8 +1,8 @@
-"""How long requests of each service run, as this VM has seen it.
+"""How long requests of each service run, as this VM observed it.
 
-Answers the load of services whose requests last some milliseconds beside those that
-last seconds: what waits at a full target waits that much shorter. Learned from all
-requests, from whose time the wait for a place is taken out by how many were ahead::
+Some services run for milliseconds and others for seconds, and the wait at a full target
+is in proportion. The mean is learned from all requests. The wait for a slot is taken
+out of their time by the number of requests ahead::
 
     times.record(service, 0.09, running=12, slots=6)
     times.run_ms(service)
@@ -10,12 +10,12 @@
 
 from .records import ServiceSpec
 
-# Until requests of a service have ended, those of model engines count as long, and
-# those of plain services as short.
+# Initial means: requests to model engines count as long, and those to plain services as
+# short.
 INITIAL_ENGINE_RUN_MS = 1800.0
 INITIAL_PLAIN_RUN_MS = 100.0
-# How much one request counts against all before it: some tens of requests decide.
-NEW_WEIGHT = 0.03
+# The weight of one request in the mean, which follows some tens of requests.
+RUN_WEIGHT = 0.03
 
 
 class RunTimes:
@@ -27,10 +27,10 @@
     def record(
         self, service: ServiceSpec, took_s: float, running: int, slots: int
     ) -> None:
-        """Note how long a request took that began as one of ``running``."""
+        """Record how long a request took that started as one of ``running``."""
         mean_ms = self.run_ms(service)
-        rounds = max(1.0, running / max(1, slots))
-        mean_ms += NEW_WEIGHT * (1000 * took_s / rounds - mean_ms)
+        batches = max(1.0, running / max(1, slots))
+        mean_ms += RUN_WEIGHT * (1000 * took_s / batches - mean_ms)
         self._means_ms[service.name] = mean_ms
 
     def run_ms(self, service: ServiceSpec) -> float:
--- a/hawthornlead/gateway/target_attempts.py
+++ b/hawthornlead/gateway/target_attempts.py
@@ -254,7 +254,7 @@
             return self._end_refused_stream(placed, exchange, relay)
         # An answer without a length ends with its connection, and so does one of a
         # target that crashes. Then only complete events count.
-        if not exchange.whole or (relay.rest and not relay.head.framed):
+        if not exchange.whole or (relay.unsent and not relay.head.framed):
             exchange.close()
             self._on_answer_lost(entry, exchange)
             return AttemptOutcome.BROKEN
@@ -282,7 +282,7 @@
             return AttemptOutcome.FAILED
         answer = WholeAnswer()
         answer.handle_head(head)
-        answer.handle_data(relay.rest)
+        answer.handle_data(relay.unsent)
         if head.status in (408, 421, 429, 503):
             return AttemptOutcome.FAILED
         self._reporter.answer(answer)
--- a/hawthornlead/tests/test_resting_targets.py
+++ b/hawthornlead/tests/test_resting_targets.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from hawthornlead.gateway.refusals import MOST_RETRY_S
+from hawthornlead.gateway.refusals import MAX_RETRY_S
 
 from .gateways import MODEL, Deployment
 
@@ -55,7 +55,7 @@
         assert late_arrivals(other) <= MOST_LATE
         last = answers[-1]
         assert last.status == 503
-        assert 0 < float(last.headers["Retry-After"]) <= MOST_RETRY_S
+        assert 0 < float(last.headers["Retry-After"]) <= MAX_RETRY_S
 
 
 async def test_a_plain_target_that_asks_for_rest_has_it():
