--- a/hawthornlead/operators/__init__.py
+++ b/hawthornlead/operators/__init__.py
@@ -1,6 +1,6 @@
-"""What operators send and read: signed orders, queries, time lines, reference pages.
+"""Operator tools: signed orders, queries, time lines and reference pages.
 
-Nothing here decides how a request is served.
+Nothing here affects how requests are served.
 
 May import: the common modules, mesh, stores, ownership, bundles, decisions, engines,
 callers.
--- a/hawthornlead/operators/commands.py
+++ b/hawthornlead/operators/commands.py
@@ -1,7 +1,7 @@
-"""Commands of operators: keys, and preparing, approving, rolling, retiring bundles.
+"""Operator commands that manage keys and prepare, approve, roll and retire bundles.
 
-Each command signs what it sends with the operator's private key, prints what the
-VM answers, and ends with a code other than 0 when the VM refuses.
+Each command signs its request with the operator's private key, prints the answer of
+the VM and exits with a non-zero code if the VM refuses.
 """
 
 import asyncio
@@ -34,7 +34,10 @@
 
 
 class Operator(NamedTuple):
-    """Who signs, with which key, and to which VM it goes."""
+    """The operator who signs, the private key and the URL of the VM.
+
+    ``ca`` is the path of a file of trusted certificates.
+    """
 
     name: str
     key: Any
@@ -42,13 +45,13 @@
     ca: str | None
 
     def send(self, method: str, path: str, value: Any = None) -> dict[str, Any]:
-        """Send a signed request and return the answer; a refusal ends the command."""
+        """Send a signed request and return the answer; exit the command if refused."""
         body = b"" if value is None else json.dumps(value).encode()
         headers = signed_headers(self.key, self.name, method, path, body)
         return asyncio.run(self._fetch(method, path, headers, body))
 
     def order(self, purpose: Purpose, digest: str, **fields: Any) -> dict[str, Any]:
-        """Return a signed statement as it is sent."""
+        """Return a signed statement as a JSON document."""
         statement = Statement(purpose.value, self.name, digest, **fields)
         return sign(self.key, statement).document()
 
@@ -76,13 +79,13 @@
     if response.code == 200 and isinstance(fields, dict):
         return fields
     if not isinstance(fields, dict) or "error" not in fields:
-        told = f"{url}: answer {response.code}: {response.reason}"
-        raise click.ClickException(f"{told}; is this the caller address of a VM?")
+        message = f"{url}: HTTP status {response.code}: {response.reason}"
+        raise click.ClickException(f"{message}; is this the caller address of a VM?")
     raise click.ClickException(f"{fields['error']}: {fields.get('detail', '')}")
 
 
 def operator_options(function):
-    """Add the options that say who signs and where it goes, as one ``Operator``."""
+    """Add the options for signer and VM, passed on as one ``Operator``."""
 
     @functools.wraps(function)
     def command(*, operator, key, vm, ca, **options):
@@ -128,10 +131,10 @@
     """Write a new private key to FILE and print its public key."""
     key = generate_key()
     try:
-        handle = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
+        descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
     except OSError as error:
         raise click.ClickException(f"{path}: {error.strerror}") from None
-    with os.fdopen(handle, "w", encoding="utf-8") as file:
+    with os.fdopen(descriptor, "w", encoding="utf-8") as file:
         file.write(private_text(key) + "\n")
     click.echo(public_text(key))
 
@@ -153,14 +156,14 @@
 @operator_options
 def bundle_prepare(path: str, operator: Operator) -> None:
     """Check DOCUMENT, send it, sign it as its preparer and print its digest."""
-    made = prepare(_read_document(path))
-    if made.is_err():
-        raise click.ClickException(made.unwrap_err().detail)
-    for chunk in made.unwrap().chunks:
+    prepared = prepare(_read_document(path))
+    if prepared.is_err():
+        raise click.ClickException(prepared.unwrap_err().detail)
+    for chunk in prepared.unwrap().chunks:
         content = base64.b64encode(chunk.content).decode()
         fields = {"digest": chunk.digest, "content": content}
         operator.send("POST", "/operator/chunks", fields)
-    digest = made.unwrap().bundle.digest
+    digest = prepared.unwrap().bundle.digest
     operator.send("POST", "/operator/bundles", operator.order(Purpose.PREPARE, digest))
     click.echo(digest)
 
--- a/hawthornlead/operators/explanations.py
+++ b/hawthornlead/operators/explanations.py
@@ -1,9 +1,9 @@
-"""Telling a request's story from log lines of several VMs.
+"""Reconstruct the history of a request from the log lines of several VMs.
 
-``hawthornlead explain REQUEST-ID vm-1.log vm-2.log`` prints, in order, what was decided
-for the request, and what happened to its targets and adapter meanwhile. Lines are put
-in order by the hybrid logical time that each carries, so that a clock that was set
-back or forward doesn't mix the story.
+``hawthornlead explain REQUEST-ID vm-1.log vm-2.log`` prints in order the decisions
+made for the request and the events of its targets and adapter at that time. Lines are
+sorted by their hybrid logical time, so that a clock that was set back or forward does
+not change their order.
 """
 
 import json
@@ -12,11 +12,11 @@
 
 from ..events import EventKind
 
-# How long before its first line, and after its last, what happened to a request's
-# targets and adapter counts as part of its story.
-BEFORE_MS = 3000
-AFTER_MS = 500
-ENDINGS = frozenset(
+# Events of the targets and the adapter of a request are included from this long before
+# its first line until this long after its last.
+CONTEXT_BEFORE_MS = 3000
+CONTEXT_AFTER_MS = 500
+FINAL_EVENTS = frozenset(
     (
         EventKind.REQUEST_SERVED.number,
         EventKind.REQUEST_TURNED_DOWN.number,
@@ -24,7 +24,7 @@
         EventKind.CALLER_GONE.number,
     )
 )
-# What of a target's life explains what became of a request there.
+# Events of a target that can explain the outcome of a request sent to it.
 TARGET_EVENTS = frozenset(
     (
         EventKind.TARGET_DIED.number,
@@ -58,18 +58,22 @@
     fields: dict
 
 
-class Story(NamedTuple):
-    """What the logs tell of a request; ``ended`` False if no line tells its end."""
+class RequestHistory(NamedTuple):
+    """The log lines that concern a request.
+
+    ``ended`` is False if no line shows how the request ended. ``lines_dropped`` is True
+    if the log budget dropped lines in between.
+    """
 
     lines: tuple[LogLine, ...]
     ended: bool
-    left_out: bool
+    lines_dropped: bool
 
 
 def read_lines(lines: Iterable[str]) -> list[LogLine]:
-    """Return the events in JSON log lines; what is no such line is passed over.
+    """Return the events in JSON log lines and skip all other lines.
 
-    A line may have something before its JSON, such as the name of its VM.
+    A line may have a prefix before its JSON, such as the name of its VM.
     """
     found = []
     for line in lines:
@@ -96,42 +100,44 @@
     return found
 
 
-def story_of(request_id: str, lines: list[LogLine]) -> Story:
-    """Return a request's own lines and those that explain them, in order."""
+def history_of(request_id: str, lines: list[LogLine]) -> RequestHistory:
+    """Return the lines of a request and those that explain them, in order."""
     own = [line for line in lines if line.subject == request_id]
     if not own:
-        return Story((), False, False)
+        return RequestHistory((), False, False)
     targets = {line.fields["target"] for line in own if line.fields.get("target")}
     adapters = {line.fields["adapter"] for line in own if line.fields.get("adapter")}
-    first = min(line.at for line in own)[0] - BEFORE_MS
-    last = max(line.at for line in own)[0] + AFTER_MS
-    told = list(own)
+    first = min(line.at for line in own)[0] - CONTEXT_BEFORE_MS
+    last = max(line.at for line in own)[0] + CONTEXT_AFTER_MS
+    selected = list(own)
     for line in lines:
         if not first <= line.at[0] <= last:
             continue
         if line.event in TARGET_EVENTS and line.subject in targets:
-            told.append(line)
+            selected.append(line)
             continue
         of_adapter = line.fields.get("adapter", line.subject) in adapters
         if line.event in ADAPTER_EVENTS and of_adapter:
-            told.append(line)
-    told.sort(key=lambda line: line.at)
-    ended = any(line.event in ENDINGS for line in own)
-    left_out = any("left out" in line.message for line in told)
-    return Story(tuple(told), ended, left_out)
-
-
-def story_text(request_id: str, story: Story) -> str:
-    """Return a story for people, each line with the milliseconds since its first."""
-    if not story.lines:
-        return f"no line tells of {request_id}; it may have been left out or sampled"
-    begun = story.lines[0].at[0]
+            selected.append(line)
+    selected.sort(key=lambda line: line.at)
+    ended = any(line.event in FINAL_EVENTS for line in own)
+    lines_dropped = any("left out" in line.message for line in selected)
+    return RequestHistory(tuple(selected), ended, lines_dropped)
+
+
+def format_history(request_id: str, history: RequestHistory) -> str:
+    """Return a history as text, each line with the milliseconds since the first."""
+    if not history.lines:
+        return f"no line mentions {request_id}; it may have been dropped or sampled out"
+    started = history.lines[0].at[0]
     texts = []
-    for line in story.lines:
+    for line in history.lines:
         mark = ">" if line.subject == request_id else " "
-        texts.append(f"{mark} {line.at[0] - begun:6} ms  {line.vm:24} {line.message}")
-    if not story.ended:
-        texts.append("no line tells how it ended: its VM may have been stopped")
-    if story.left_out:
-        texts.append("lines were left out meanwhile, as the budget of lines was spent")
+        texts.append(f"{mark} {line.at[0] - started:6} ms  {line.vm:24} {line.message}")
+    if not history.ended:
+        texts.append("no line shows how it ended: its VM may have been stopped")
+    if history.lines_dropped:
+        texts.append(
+            "lines were dropped in between because the log budget was exhausted"
+        )
     return "\n".join(texts)
--- a/hawthornlead/operators/operator_handlers.py
+++ b/hawthornlead/operators/operator_handlers.py
@@ -1,8 +1,8 @@
-"""HTTP towards operators: every request is signed, and refused otherwise.
+"""HTTP routes for operators; unsigned requests are refused.
 
-How a request is signed is told in ``request_guards``. The bodies of orders are signed
-statements themselves, which are kept with the bundle, so that every VM can verify
-them by itself.
+``request_guards`` describes how requests are signed. The bodies of orders are signed
+statements too. They are stored with the bundle, so that every VM can verify them
+itself.
 """
 
 import base64
@@ -15,20 +15,20 @@
 
 
 class OperatorHandler(SignedHandler):
-    """What all operator routes share."""
+    """Base class of all operator routes."""
 
     def initialize(self, keeper: BundleKeeper, guard: RequestGuard, mesh) -> None:
-        """Take the parts that the daemon built."""
+        """Set the objects that the daemon built."""
         super().initialize(guard)
         self._keeper = keeper
         self._mesh = mesh
 
 
 class ChunkHandler(OperatorHandler):
-    """Takes in one chunk of a bundle."""
+    """Receives one chunk of a bundle."""
 
     async def post(self) -> None:
-        """Keep the chunk in the store under its digest."""
+        """Store the chunk under its digest."""
         body = self.body()
         if body.is_err():
             self.refuse(body.unwrap_err())
@@ -48,7 +48,7 @@
 
 
 class BundleHandler(OperatorHandler):
-    """Shows the bundle in force and takes in prepared ones."""
+    """Shows the bundle in force and receives prepared bundles."""
 
     async def get(self) -> None:
         """Show what is in force, what is staged and the past rolls."""
@@ -67,7 +67,7 @@
         )
 
     async def post(self) -> None:
-        """Take in a bundle whose chunks were sent, with the preparer's signature."""
+        """Store a bundle, whose chunks are stored, with its preparer's signature."""
         signed = self.statement()
         if signed.is_err():
             self.refuse(signed.unwrap_err())
@@ -82,10 +82,10 @@
 
 
 class ApproveHandler(OperatorHandler):
-    """Takes in an approval."""
+    """Receives approvals."""
 
     async def post(self) -> None:
-        """Keep the approval if it is another operator's than the preparer."""
+        """Store the approval if its operator is not the preparer."""
         signed = self.statement()
         if signed.is_err():
             self.refuse(signed.unwrap_err())
@@ -98,17 +98,17 @@
 
 
 class RollHandler(OperatorHandler):
-    """Carries out orders to roll, with a waiver or without."""
+    """Executes orders to roll, with or without a waiver."""
 
     async def post(self) -> None:
-        """Roll, and answer when the bundle is accepted or certainly is not."""
+        """Roll, and answer once it is certain whether the bundle is accepted."""
         signed = self.statement()
         if signed.is_err():
             self.refuse(signed.unwrap_err())
             return
-        wanted = "waive" if self.request.path.endswith("/waive") else "roll"
-        if signed.unwrap().statement.purpose != wanted:
-            detail = f"this route takes statements to {wanted}"
+        required = "waive" if self.request.path.endswith("/waive") else "roll"
+        if signed.unwrap().statement.purpose != required:
+            detail = f"this route accepts only statements to {required}"
             self.refuse(Failure(ErrorKind.BAD_REQUEST, detail))
             return
         rolled = await self._keeper.roll(signed.unwrap())
@@ -119,10 +119,10 @@
 
 
 class RetireHandler(OperatorHandler):
-    """Carries out orders to retire a bundle."""
+    """Executes orders to retire a bundle."""
 
     async def post(self) -> None:
-        """Bar the bundle from being rolled any more."""
+        """Prevent the bundle from being rolled again."""
         signed = self.statement()
         if signed.is_err():
             self.refuse(signed.unwrap_err())
@@ -135,10 +135,10 @@
 
 
 class StatusHandler(OperatorHandler):
-    """Shows what this VM serves, or why it refuses."""
+    """Shows which bundle this VM serves, or why it refuses requests."""
 
     def get(self) -> None:
-        """Answer from memory, so that it works in an outage of the store."""
+        """Answer from memory, so that the route works during a store outage."""
         permitted = self._keeper.may_serve()
         fields = {
             "seq": self._keeper.seq_in_force,
--- a/hawthornlead/operators/queries.py
+++ b/hawthornlead/operators/queries.py
@@ -1,7 +1,7 @@
-"""Queries of the command line: they look and never change anything.
+"""Read-only queries of the command line.
 
-A query that asks a running VM takes its caller address, and prints a table for a
-person or, with ``--json``, the VM's own answer::
+A query of a running VM takes its caller address and prints a table or, with ``--json``,
+the answer of the VM as it is::
 
     hawthornlead timeline --vm 10.0.0.4:8080 --subject engine-3
 """
@@ -22,12 +22,12 @@
 from ..file_settings import effective_settings
 from ..settings import FREE_SECTIONS, SETTINGS, Settings
 from ..signatures import read_private_file
-from .explanations import read_lines, story_of, story_text
+from .explanations import format_history, history_of, read_lines
 from .references import EventRow, event_rows
 from .request_guards import signed_headers
 from .vm_options import CA_OPTION, VM_OPTION
 
-ASK_TIMEOUT_S = 10.0
+QUERY_TIMEOUT_S = 10.0
 SECRETS = frozenset({"PEER_SECRET"})
 
 QUERIES: dict[str, click.Command] = {}
@@ -41,13 +41,13 @@
 
 
 def query(command: click.Command) -> click.Command:
-    """Enter a command in ``QUERIES``, from which the command line takes it."""
+    """Register a command in ``QUERIES``, which the command line includes."""
     QUERIES[command.name] = command
     return command
 
 
-def asks_vm(function):
-    """Add the options of a query that asks a running VM."""
+def vm_query_options(function):
+    """Add the options of a query to a running VM."""
     for option in (
         click.option("--json", "as_json", is_flag=True, help="Print JSON."),
         CA_OPTION,
@@ -57,10 +57,10 @@
     return function
 
 
-def may_sign(function):
+def signer_options(function):
     """Add the options by which an operator signs a query.
 
-    They are needed on the callers' address, not on the metrics address.
+    The caller address of a VM requires a signature, the metrics address does not.
     """
 
     @functools.wraps(function)
@@ -103,11 +103,11 @@
 
 @query
 @click.command()
-@asks_vm
-@may_sign
+@vm_query_options
+@signer_options
 def status(vm: str, ca: str | None, as_json: bool, signer: Signer | None) -> None:
     """Show the state of one VM and what it knows."""
-    answer = _answer_or_exit(ask_vm(vm, "/status", {}, ca, signer))
+    answer = _answer_or_exit(query_vm(vm, "/status", {}, ca, signer))
     if as_json:
         return click.echo(json.dumps(answer))
     return click.echo(as_table(("what", "value"), flat_rows(answer)))
@@ -116,11 +116,11 @@
 @query
 @click.command()
 @click.option("--data-centre", default="", help="Data centre of the caller.")
-@asks_vm
+@vm_query_options
 def entry(vm: str, ca: str | None, as_json: bool, data_centre: str) -> None:
-    """Show which addresses callers are told to use."""
-    asked = {"data_centre": data_centre} if data_centre else {}
-    answer = _answer_or_exit(ask_vm(vm, "/entry", asked, ca))
+    """Show the addresses that callers are told to use."""
+    parameters = {"data_centre": data_centre} if data_centre else {}
+    answer = _answer_or_exit(query_vm(vm, "/entry", parameters, ca))
     if as_json:
         return click.echo(json.dumps(answer))
     rows = [(address, f"{answer['keep_s']:.1f}") for address in answer["addresses"]]
@@ -129,13 +129,13 @@
 
 @query
 @click.command()
-@asks_vm
+@vm_query_options
 def fleet(vm: str, ca: str | None, as_json: bool) -> None:
     """Show the fleet as one gateway sees it; VM is its metrics address."""
-    answer = _answer_or_exit(ask_vm(vm, "/fleet", {}, ca))
+    answer = _answer_or_exit(query_vm(vm, "/fleet", {}, ca))
     if as_json:
         return click.echo(json.dumps(answer))
-    own = {name: told for name, told in answer.items() if not isinstance(told, list)}
+    own = {name: value for name, value in answer.items() if not isinstance(value, list)}
     own["relays"] = " ".join(answer["relays"])
     click.echo(as_table(("what", "value"), flat_rows(own)))
     for part in ("kinds", "members", "engines", "quotas"):
@@ -154,8 +154,8 @@
     show_default=True,
     help="Most events per VM.",
 )
-@asks_vm
-@may_sign
+@vm_query_options
+@signer_options
 def timeline(
     vm: str,
     ca: str | None,
@@ -165,8 +165,8 @@
     signer: Signer | None,
 ) -> None:
     """Show one time line of the events of all VMs."""
-    asked = {"subject": subject, "limit": str(limit)}
-    answer = _answer_or_exit(ask_vm(vm, "/timeline", asked, ca, signer))
+    parameters = {"subject": subject, "limit": str(limit)}
+    answer = _answer_or_exit(query_vm(vm, "/timeline", parameters, ca, signer))
     if as_json:
         return click.echo(json.dumps(answer))
     heads = ("time", "vm", "number", "subject", "text")
@@ -185,7 +185,7 @@
             if row.section != section:
                 continue
             if name in SECRETS and settings[name]:
-                lines.append(f"# {name.lower()} is given and not shown")
+                lines.append(f"# {name.lower()} is set and not shown")
                 continue
             lines.append(f"{name.lower()} = {settings[name]}".rstrip())
         lines.append("")
@@ -196,20 +196,20 @@
     return "\n".join(lines)
 
 
-def ask_vm(
+def query_vm(
     vm: str,
     path: str,
-    asked: dict[str, str],
+    parameters: dict[str, str],
     ca: str | None = None,
     signer: Signer | None = None,
 ) -> Result[Any, Failure]:
     """Return a VM's JSON answer to a GET of ``path``.
 
     ``vm`` is IP:PORT, or begins with ``https://`` where callers use TLS. A refusal
-    is returned as the VM told it.
+    is returned as the VM sent it.
     """
     base = vm if "://" in vm else f"http://{vm}"
-    path += f"?{urlencode(asked)}" if asked else ""
+    path += f"?{urlencode(parameters)}" if parameters else ""
     headers = {}
     if signer is not None:
         headers = signed_headers(signer.key, signer.operator, "GET", path, b"")
@@ -218,13 +218,13 @@
         response = client.fetch(
             base + path,
             headers=headers,
-            connect_timeout=ASK_TIMEOUT_S,
-            request_timeout=ASK_TIMEOUT_S,
+            connect_timeout=QUERY_TIMEOUT_S,
+            request_timeout=QUERY_TIMEOUT_S,
             ca_certs=ca,
         )
         return Ok(json.loads(response.body))
     except HTTPError as error:
-        return Err(_told(vm, error))
+        return Err(_failure_of(vm, error))
     except (OSError, ValueError) as error:
         return Err(Failure(ErrorKind.PEER_UNAVAILABLE, f"{vm}: {error}"))
     finally:
@@ -232,7 +232,7 @@
 
 
 def timeline_rows(records: list[dict[str, Any]]) -> list[tuple[str, ...]]:
-    """Return the rows of a time line, sorted so that causes stand before effects."""
+    """Return the rows of a time line, sorted so that causes come before effects."""
     ordered = sorted(records, key=lambda r: (r["wall_ms"], r["logical"], r["vm"]))
     rows = []
     for record in ordered:
@@ -262,7 +262,7 @@
 
 
 def rows_as_table(rows: list[dict[str, Any]]) -> str:
-    """Return records of the same fields as a table, "-" for what isn't known."""
+    """Return records of the same fields as a table, with "-" for unknown values."""
     heads = tuple(rows[0]) if rows else ("none",)
     lines = []
     for row in rows:
@@ -282,7 +282,7 @@
     )
 
 
-def _told(vm: str, error: HTTPError) -> Failure:
+def _failure_of(vm: str, error: HTTPError) -> Failure:
     body = error.response.body if error.response is not None else b""
     try:
         fields = json.loads(body or b"")
@@ -308,11 +308,11 @@
 @click.argument("request_id")
 @click.argument("files", nargs=-1, type=click.File("r", errors="replace"))
 def explain_request(request_id: str, files) -> None:
-    """Tell a request's story from JSON log lines of one or more VMs.
+    """Show the history of a request from JSON log lines of one or more VMs.
 
     Reads the FILES, or standard input if there are none.
     """
     lines = []
     for file in files or (sys.stdin,):
         lines += read_lines(file)
-    click.echo(story_text(request_id, story_of(request_id, lines)))
+    click.echo(format_history(request_id, history_of(request_id, lines)))
--- a/hawthornlead/operators/references.py
+++ b/hawthornlead/operators/references.py
@@ -1,9 +1,8 @@
-"""Reference pages made from the tables in the code, so that they can't drift.
+"""Reference pages generated from the tables in the code.
 
-``scripts/docs`` writes the pages, and a test fails when a committed page differs
-from what its table gives. It also marks, in pages written by hand, the modules that
-a page rests on and that are not in the code yet. A page is a function entered in
-``PAGES``::
+``scripts/docs`` writes the pages, and a test fails if a committed page differs from
+its table. The script also marks, in pages written by hand, the modules that a page
+refers to and that do not exist yet. A page is a function registered in ``PAGES``::
 
     text = PAGES["events.md"]()
 """
@@ -37,7 +36,7 @@
 
 @page("settings.md")
 def settings_page() -> str:
-    """Return the page of all settings, by section, and of how they must fit."""
+    """Return the page of all settings by section, with the bounds between them."""
     lines = _head("Settings", "setting_rows")
     lines += [
         "A settings file is INI. `hawthornlead check-settings FILE` prints the values",
@@ -82,7 +81,7 @@
 
 @page("errors.md")
 def errors_page() -> str:
-    """Return the closed list of error kinds and how each is answered."""
+    """Return the list of all error kinds with the answer to each."""
     lines = _head("Errors", "errors")
     lines += [
         "Every refusal is of one of these kinds. `ran` says what is known about",
@@ -113,7 +112,7 @@
 
 
 def with_planned_marks(text: str) -> str:
-    """Return a page with ``(planned)`` after each missing module it rests on."""
+    """Return a page with ``(planned)`` after each module that does not exist yet."""
     lines = []
     for line in text.split("\n"):
         if line.startswith("Rests on: "):
@@ -142,7 +141,7 @@
 
 
 def _packages() -> list[Path]:
-    """Return the folders of the subpackages but that of the tests."""
+    """Return the folders of all subpackages except the tests."""
     return [
         path.parent
         for path in sorted(PACKAGE.glob("*/__init__.py"))
@@ -175,7 +174,7 @@
 
 
 class EventRow(NamedTuple):
-    """One event of the catalogue, as it is printed."""
+    """A printed row of the event catalogue."""
 
     number: str
     name: str
@@ -184,7 +183,7 @@
 
 
 def event_rows() -> list[EventRow]:
-    """Return every event, by number."""
+    """Return all events, sorted by number."""
     kinds = sorted(EventKind, key=lambda kind: kind.number)
     return [
         EventRow(str(kind.number), kind.name, kind.level, kind.meaning)
--- a/hawthornlead/operators/request_guards.py
+++ b/hawthornlead/operators/request_guards.py
@@ -1,7 +1,7 @@
-"""Signed HTTP requests of operators: what a client sends, what a VM checks.
+"""Signing and verification of HTTP requests of operators.
 
-An operator signs method, path with its query, SHA-256 of the body, time and order
-id. A handler that needs such a signature is a ``SignedHandler``::
+An operator signs the method, the path with its query, the SHA-256 of the body, the time
+and the order id. Handlers that require a signature derive from ``SignedHandler``::
 
     routes = [("/status", StatusHandler, {"guard": guard, "parts": parts})]
 """
@@ -33,13 +33,14 @@
 TIME_HEADER = "Hawthornlead-Time"
 ORDER_HEADER = "Hawthornlead-Order"
 SIGNATURE_HEADER = "Hawthornlead-Signature"
-# A request older than this is refused, so that one that was recorded can't be sent
-# again later; within that time its order id is remembered.
+# Older requests are refused, so that a recorded request can't be replayed later. Within
+# this time the remembered order id prevents a replay.
 MAX_REQUEST_AGE_S = 300
-ORDERS_REMEMBERED = 10_000
-# Events of refusals are kept at most this often; every answer goes out. Without it,
-# whoever sends unsigned requests in a row drives all else out of the event ring.
-REFUSAL_EVENT_S = 1.0
+MAX_REMEMBERED_ORDERS = 10_000
+# Refusals are recorded as events at most this often, but every request is answered.
+# Without this limit a series of unsigned requests evicts all other events from the
+# ring.
+REFUSAL_EVENT_INTERVAL_S = 1.0
 
 
 def signed_headers(
@@ -47,8 +48,8 @@
 ) -> dict[str, str]:
     """Return the headers by which an operator signs one request.
 
-    ``path`` is what follows the address, with the query. Each call makes a new order
-    id, so that what was signed can be sent once.
+    ``path`` follows the address and includes the query. Each call generates a new order
+    id, so that a signed request can be sent only once.
     """
     request = sign_request(
         key,
@@ -68,27 +69,27 @@
 
 
 class RequestGuard:
-    """Tells which operator signed a request, once for each order id."""
+    """Verifies the signatures of requests and accepts each order id once."""
 
     def __init__(self, keys: OperatorKeys, timers, events):
         self._keys = keys
         self._timers = timers
         self._events = events
         self._seen: OrderedDict[str, float] = OrderedDict()
-        self._told_at = float("-inf")
+        self._refusal_emitted_at = float("-inf")
 
     def operator_of(self, request) -> Result[str, Failure]:
         """Return the operator that signed an HTTP request."""
         checked = self._check(request)
         if checked.is_err():
-            self._tell(request, checked.unwrap_err())
+            self._emit_refusal(request, checked.unwrap_err())
         return checked
 
-    def _tell(self, request, failure: Failure) -> None:
+    def _emit_refusal(self, request, failure: Failure) -> None:
         now = self._timers.now()
-        if now - self._told_at < REFUSAL_EVENT_S:
+        if now - self._refusal_emitted_at < REFUSAL_EVENT_INTERVAL_S:
             return
-        self._told_at = now
+        self._refusal_emitted_at = now
         self._events.emit(
             EventKind.OPERATOR_REFUSED, request.path, detail=failure.detail
         )
@@ -103,30 +104,30 @@
         if known.is_err():
             return known
         if abs(self._timers.wall() - signed.time_s) > MAX_REQUEST_AGE_S:
-            detail = f"the request's time is over {MAX_REQUEST_AGE_S} s from this VM's"
+            detail = f"request time is over {MAX_REQUEST_AGE_S} s off this VM's clock"
             return Err(Failure(ErrorKind.BAD_SIGNATURE, detail))
         if signed.order_id in self._seen:
-            detail = f"request {signed.order_id} was sent before"
+            detail = f"request with order id {signed.order_id} was already received"
             return Err(Failure(ErrorKind.FORBIDDEN, detail))
         self._seen[signed.order_id] = signed.time_s
-        while len(self._seen) > ORDERS_REMEMBERED:
+        while len(self._seen) > MAX_REMEMBERED_ORDERS:
             self._seen.popitem(last=False)
         return known
 
 
 class SignedHandler(RequestHandler):
-    """What routes for operators share: the signature, the answer.
+    """Base class of operator routes that verifies signatures and sends answers.
 
-    Without a guard the route is open: for an address that only operators reach.
+    Without a guard the route is open, for an address that only operators can reach.
     """
 
     def initialize(self, guard: RequestGuard | None) -> None:
-        """Take the guard that the daemon built."""
+        """Set the guard that the daemon built."""
         self._guard = guard
         self._operator = ""
 
     def prepare(self) -> None:
-        """Refuse what no operator signed, before anything else is looked at."""
+        """Refuse a request without a valid signature before any other check."""
         if self._guard is None:
             return
         operator = self._guard.operator_of(self.request)
@@ -136,7 +137,7 @@
         self._operator = operator.unwrap()
 
     def refuse(self, failure: Failure) -> None:
-        """Answer a failure by its kind."""
+        """Answer with the failure and the status of its kind."""
         self.set_status(failure.answer.status)
         if failure.retry_after_s is not None:
             self.set_header("Retry-After", str(max(1, round(failure.retry_after_s))))
@@ -161,11 +162,11 @@
         except ValueError:
             value = None
         if not isinstance(value, dict):
-            return Err(Failure(ErrorKind.BAD_REQUEST, "the body is no JSON object"))
+            return Err(Failure(ErrorKind.BAD_REQUEST, "the body is not a JSON object"))
         return Ok(value)
 
     def statement(self) -> Result[SignedStatement, Failure]:
-        """Return the signed statement of the body; it must be the sender's own."""
+        """Return the signed statement of the body; its signer must be the sender."""
         body = self.body()
         if body.is_err():
             return body
--- a/hawthornlead/operators/statuses.py
+++ b/hawthornlead/operators/statuses.py
@@ -1,4 +1,4 @@
-"""What one VM knows of itself, its peers, its targets and the bundle in force."""
+"""The state of one VM: itself, its peers, its targets and the bundle in force."""
 
 import json
 from typing import Any, NamedTuple
@@ -16,7 +16,7 @@
 
 
 class StatusParts(NamedTuple):
-    """The parts that the status reads; ``mesh`` and ``members`` as in the daemon."""
+    """The objects that the status reads; ``mesh`` and ``members`` as in the daemon."""
 
     settings: Settings
     timers: TimerService
@@ -35,18 +35,18 @@
     """``GET /status``: the state of this VM as JSON."""
 
     def initialize(self, guard: RequestGuard | None, parts: StatusParts) -> None:
-        """Take the parts that the daemon built."""
+        """Set the objects that the daemon built."""
         super().initialize(guard)
         self._parts = parts
 
     def get(self) -> None:
-        """Answer the state of now."""
+        """Answer with the current state."""
         self.set_header("Content-Type", "application/json")
         self.finish(json.dumps(status_of(self._parts)))
 
 
 def status_of(parts: StatusParts) -> dict[str, Any]:
-    """Return the state of a VM as JSON fields; times are in seconds ago."""
+    """Return the state of a VM as JSON fields, with ages in seconds."""
     settings = parts.settings
     return {
         "vm": settings["VM_NAME"],
@@ -57,7 +57,7 @@
             "state": parts.leases.state,
             "incarnation": parts.leases.incarnation,
         },
-        "store_answered_s_ago": _ago(parts, parts.store.answered_at),
+        "store_answered_s_ago": _seconds_since(parts, parts.store.answered_at),
         "bundle": _bundle(parts),
         "owned": sorted(parts.owners.owned_resources()),
         "peers": _peers(parts),
@@ -83,7 +83,7 @@
             "vm": peer.vm,
             "data_centre": peer.data_centre,
             "address": peer.address,
-            "heard_s_ago": _ago(parts, peer.last_seen_at),
+            "heard_s_ago": _seconds_since(parts, peer.last_seen_at),
         }
         for peer in sorted(parts.mesh.live, key=lambda peer: peer.vm)
     ]
@@ -97,7 +97,7 @@
             "owner": view.owner_vm,
             "leaving": view.leaving,
             "residents": _residents(view),
-            "heard_s_ago": _ago(parts, view.last_seen_at),
+            "heard_s_ago": _seconds_since(parts, view.last_seen_at),
         }
         for view in parts.views.views()
     ]
@@ -109,10 +109,10 @@
     return [f"{each.adapter}@{each.version}" for each in view.state.residents]
 
 
-def _ago(parts: StatusParts, moment: float) -> float | None:
-    """Return how long ago a moment was, None for never.
+def _seconds_since(parts: StatusParts, moment: float) -> float | None:
+    """Return the seconds since a moment, None for never.
 
-    Never is told as 0 or as minus infinity by the parts.
+    The moment is 0 or minus infinity for never.
     """
     if moment in (0, float("-inf")):
         return None
@@ -120,5 +120,5 @@
 
 
 def status_routes(parts: StatusParts, guard: RequestGuard | None = None) -> list:
-    """Return the route of the status; without a guard anybody may ask."""
+    """Return the route of the status; without a guard it is open to all."""
     return [(r"/status", StatusHandler, {"guard": guard, "parts": parts})]
--- a/hawthornlead/operators/vm_options.py
+++ b/hawthornlead/operators/vm_options.py
@@ -1,4 +1,4 @@
-"""Options of the command line with which commands and queries reach a VM."""
+"""Command line options for the address and certificates of a VM."""
 
 import click
 
--- a/hawthornlead/tests/test_explanations.py
+++ b/hawthornlead/tests/test_explanations.py
@@ -1,4 +1,4 @@
-"""Tests of telling a request's story from log lines."""
+"""Tests of reconstructing the history of a request from log lines."""
 
 import io
 import json
@@ -8,7 +8,7 @@
 from hawthornlead.clocks import HybridClock
 from hawthornlead.events import EventKind, EventRing
 from hawthornlead.logs import configure_logs
-from hawthornlead.operators.explanations import read_lines, story_of, story_text
+from hawthornlead.operators.explanations import format_history, history_of, read_lines
 from hawthornlead.settings import default_settings
 from hawthornlead.timers import ManualTimerService
 
@@ -28,7 +28,7 @@
         self.ring.emit(kind, subject, **fields)
         logger.remove()
 
-    def tell(self, other):
+    def send_to(self, other):
         other.clock.observe(self.clock.tick())
 
 
@@ -36,48 +36,48 @@
     return read_lines(line for vm in vms for line in vm.stream.getvalue().splitlines())
 
 
-def test_a_story_is_in_order_though_a_clock_was_set_back():
-    """The on-call engineer reads that an adapter was ready before it was ordered.
+def test_history_is_in_order_after_a_clock_was_set_back():
+    """Guard against a history in which an adapter is ready before it is ordered.
 
-    The clock of the engine's owner had been set back by 40 s, and its log lines were
-    sorted by the time of day.
+    This happens if lines are sorted by the time of day while the clock of the engine's
+    owner is set back by 40 s.
     """
-    asker, owner = Vm("vm-1", 1000.0), Vm("vm-2", 960.0)
-    asker.emit(EventKind.REQUEST_PLACED, "r1", target="e1", adapter="a7")
-    asker.tell(owner)
+    requester, owner = Vm("vm-1", 1000.0), Vm("vm-2", 960.0)
+    requester.emit(EventKind.REQUEST_PLACED, "r1", target="e1", adapter="a7")
+    requester.send_to(owner)
     owner.emit(EventKind.ORDER_GIVEN, "e1", order="load", adapter="a7")
     owner.emit(EventKind.ADAPTER_READY, "e1", adapter="a7", after_ms=280)
-    owner.tell(asker)
-    asker.emit(EventKind.REQUEST_SERVED, "r1", target="e1", status=200)
-    story = story_of("r1", lines_of(owner, asker))
-    events = [line.event for line in story.lines]
+    owner.send_to(requester)
+    requester.emit(EventKind.REQUEST_SERVED, "r1", target="e1", status=200)
+    history = history_of("r1", lines_of(owner, requester))
+    events = [line.event for line in history.lines]
     assert events == [607, 522, 523, 608]
-    assert story.ended
+    assert history.ended
 
 
-def test_only_what_concerns_the_request_is_told():
+def test_history_has_only_lines_that_concern_the_request():
     vm = Vm("vm-1", 1000.0)
     vm.emit(EventKind.REQUEST_PLACED, "r1", target="e1", adapter="a7")
     vm.emit(EventKind.REQUEST_PLACED, "r2", target="e2", adapter="a8")
     vm.emit(EventKind.TARGET_DIED, "e2", requests=3)
     vm.emit(EventKind.TARGET_DIED, "e1", requests=9)
     vm.emit(EventKind.ANSWER_CUT, "r1", cause="the target failed")
-    story = story_of("r1", lines_of(vm))
-    assert [line.subject for line in story.lines] == ["r1", "e1", "r1"]
-    text = story_text("r1", story)
+    history = history_of("r1", lines_of(vm))
+    assert [line.subject for line in history.lines] == ["r1", "e1", "r1"]
+    text = format_history("r1", history)
     assert "TARGET_DIED e1" in text
     assert "TARGET_DIED e2" not in text
 
 
-def test_an_unknown_request_and_a_story_without_end_are_said_so():
+def test_unknown_request_and_missing_end_are_reported():
     vm = Vm("vm-1", 1000.0)
     vm.emit(EventKind.REQUEST_PLACED, "r1", target="e1", adapter="")
     lines = lines_of(vm)
-    assert "no line tells" in story_text("r9", story_of("r9", lines))
-    assert "how it ended" in story_text("r1", story_of("r1", lines))
+    assert "no line mentions" in format_history("r9", history_of("r9", lines))
+    assert "how it ended" in format_history("r1", history_of("r1", lines))
 
 
-def test_lines_with_a_prefix_are_read_and_broken_ones_passed_over():
+def test_lines_with_a_prefix_are_read_and_malformed_ones_skipped():
     vm = Vm("vm-1", 1000.0)
     vm.emit(EventKind.REQUEST_SERVED, "r1", target="e1")
     (line,) = vm.stream.getvalue().splitlines()
--- a/hawthornlead/tests/test_operator_handlers.py
+++ b/hawthornlead/tests/test_operator_handlers.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' routes and commands, over HTTP."""
+"""Tests of operator routes and commands over HTTP."""
 
 import asyncio
 import json
@@ -34,7 +34,7 @@
 
 
 class Site:
-    """Two VMs, the first of which answers operators over HTTP."""
+    """Two VMs, of which the first serves operators over HTTP."""
 
     def __init__(self, folder):
         self.folder = folder
@@ -78,7 +78,7 @@
         )
 
     async def fetch(self, path, body=None, headers=None):
-        """Send a request as it is."""
+        """Send a request without signing it."""
         return await AsyncHTTPClient().fetch(
             f"http://{self.address}{path}",
             method="GET" if body is None else "POST",
@@ -109,7 +109,7 @@
     return digest
 
 
-async def test_from_the_document_to_the_roll_back(site):
+async def test_prepare_approve_roll_and_roll_back(site):
     first = await _released(site, "v1")
     second = await _released(site, "v2")
     for digest, seq in ((first, 1), (second, 2), (first, 3)):
@@ -126,7 +126,7 @@
     assert "forbidden: bundle" in refused.output
 
 
-async def test_refusals_are_plain_and_end_with_a_code(site):
+async def test_refusals_have_a_message_and_a_nonzero_exit_code(site):
     path = site.write("v1", document("v1"))
     digest = (await site.run("prepare", path)).output.strip()
     cases = [
@@ -143,7 +143,7 @@
         assert told in outcome.output
 
 
-async def test_an_expectation_that_is_over_is_a_conflict(site):
+async def test_roll_with_an_outdated_expectation_is_a_conflict(site):
     first, second = await _released(site, "v1"), await _released(site, "v2")
     assert (await site.run("roll", first, "--expect", "0")).exit_code == 0
     late = await site.run("roll", second, "--expect", "0")
@@ -152,7 +152,7 @@
     assert "~ caller office: brief: tides v1 -> tides v2" in late.output
 
 
-async def test_the_answer_that_was_lost_is_asked_for_again(site):
+async def test_repeated_order_returns_the_same_answer(site):
     digest = await _released(site, "v1")
     options = ("--expect", "0", "--order-id", "mine")
     for _ in range(2):
@@ -160,7 +160,7 @@
         assert (rolled.exit_code, "in force as 1" in rolled.output) == (0, True)
 
 
-async def test_a_waiver_names_what_it_goes_without(site):
+async def test_waiver_lists_the_vms_without_acknowledgement(site):
     digest = await _released(site, "v1")
     site.fleet.network.cuts.add(frozenset("ab"))
     rolling = asyncio.create_task(site.run("roll", digest, "--waive", "bilbao"))
--- a/hawthornlead/tests/test_references.py
+++ b/hawthornlead/tests/test_references.py
@@ -1,4 +1,4 @@
-"""Tests that the reference pages equal the tables in the code."""
+"""Tests that the committed reference pages match the tables in the code."""
 
 import re
 from pathlib import Path
@@ -42,8 +42,8 @@
 
 @pytest.mark.parametrize("page", OPERATORS, ids=lambda page: page.name)
 def test_operators_page_names_what_exists(page):
-    # An operator searches the logs for an event that the page names, and concludes
-    # from its absence that all is well. The name was changed in the code only.
+    # Guards against a page that names an event renamed in the code: an operator who
+    # does not find that event in the logs concludes that there was no fault.
     text = page.read_text(encoding="utf-8")
     assert text == with_planned_marks(text), "run scripts/docs"
     known_events = {f"{kind.number} {kind.name}" for kind in EventKind}
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize("page", PROSE, ids=lambda page: page.name)
-def test_links_between_pages_lead_somewhere(page):
+def test_links_between_pages_resolve(page):
     text = page.read_text(encoding="utf-8")
     for link in re.findall(r"\]\(([^)#:]+)\)", text):
         assert (page.parent / link).exists(), link
--- a/hawthornlead/tests/test_timelines.py
+++ b/hawthornlead/tests/test_timelines.py
@@ -12,13 +12,13 @@
 from hawthornlead.errors import ErrorKind, Failure
 from hawthornlead.events import EventKind, EventRing
 from hawthornlead.messages import CollectEvents
-from hawthornlead.operators.timelines import MOST_RECORDS, Timeline, timeline_routes
+from hawthornlead.operators.timelines import MAX_RECORDS, Timeline, timeline_routes
 from hawthornlead.settings import default_settings
 from hawthornlead.timers import ManualTimerService
 
 
 class Fleet:
-    """VMs in one process; stands for the mesh and for the list of live VMs."""
+    """VMs in one process; a fake of the mesh and the list of live VMs."""
 
     def __init__(self, *vms, wall_s=None):
         self.cut = set()
@@ -37,12 +37,12 @@
             )
 
     def on(self, message_type, handler):
-        """Note the handler of the VM that joins."""
+        """Record the handler of the joining VM."""
         assert message_type is CollectEvents
         self.handlers[self._joining] = handler
 
     def live_vms(self):
-        """Return all VMs, also those that are cut off."""
+        """Return all VMs, including those that are cut off."""
         return tuple(self.handlers)
 
     async def call(self, vm, message, timeout_s=None):
@@ -53,10 +53,10 @@
         return Ok(await self.handlers[vm](None, message))
 
 
-async def test_cause_stands_before_effect_when_clocks_differ():
-    # VM b's clock is a minute behind. An operator reading the merged logs by wall time
-    # would see b lose a target a minute before a took it, and blame b. The message that
-    # carried the news carries a's hybrid time, which moves b's clock past it.
+async def test_cause_comes_before_effect_when_clocks_differ():
+    # Guards against a time line sorted by wall time, in which an effect on VM b, whose
+    # clock is a minute behind, comes a minute before its cause on VM a. The message
+    # from a to b carries a's hybrid time, which moves b's clock past it.
     fleet = Fleet("a", "b", wall_s={"a": 1060.0, "b": 1000.0})
     a, b = fleet.rings["a"], fleet.rings["b"]
     b.emit(EventKind.TARGET_SEEN, "engine-1")
@@ -88,8 +88,8 @@
     for _ in range(100):
         ring.emit(EventKind.TARGET_SEEN, "engine-1")
     collected = await fleet.timelines["vm-0"].collect("", 10**9)
-    assert {message.limit for message in fleet.asked} == {MOST_RECORDS // 370}
-    assert len(collected.events) == MOST_RECORDS // 370
+    assert {message.limit for message in fleet.asked} == {MAX_RECORDS // 370}
+    assert len(collected.events) == MAX_RECORDS // 370
     assert len((await fleet.timelines["vm-0"].collect("", 3)).events) == 3
 
 
