--- a/hawthornlead/mesh/__init__.py
+++ b/hawthornlead/mesh/__init__.py
@@ -1,4 +1,4 @@
-"""The mesh of VMs: connections, their messages and how they are spelled on the way.
+"""The mesh of VMs: connections, calls and the encoding of messages.
 
 Sends typed messages and answers calls; it knows no target, bundle or request.
 
--- a/hawthornlead/mesh/arrivals.py
+++ b/hawthornlead/mesh/arrivals.py
@@ -1,11 +1,11 @@
-"""Waiting until a VM is connected that is being dialled."""
+"""Waiting until a VM that is being dialled is connected."""
 
 import asyncio
 from collections import defaultdict
 
 
 class Arrivals:
-    """Those who wait for connections with VMs.
+    """The tasks that wait for connections with VMs.
 
     ::
 
@@ -16,14 +16,14 @@
     def __init__(self):
         self._waiting: dict[str, set[asyncio.Future]] = defaultdict(set)
 
-    def note(self, vm: str) -> None:
-        """Note that a VM has been connected."""
+    def on_connected(self, vm: str) -> None:
+        """Wake the tasks that wait for a VM that has been connected."""
         for waiting in self._waiting.pop(vm, ()):
             if not waiting.done():
                 waiting.set_result(True)
 
     async def wait(self, vm: str, wait_s: float) -> bool:
-        """Wait until a VM is connected, ``wait_s`` seconds at most."""
+        """Wait until a VM is connected; return False after ``wait_s`` seconds."""
         waiting = asyncio.get_running_loop().create_future()
         self._waiting[vm].add(waiting)
         try:
--- a/hawthornlead/mesh/calls.py
+++ b/hawthornlead/mesh/calls.py
@@ -9,8 +9,8 @@
 from ..errors import ErrorKind, Failure
 from .meshes import outcome_of
 
-# When a caller may come back whose request needed a VM that doesn't answer: by then
-# the VM has been reconnected, or its roles are being taken over.
+# When a caller may retry a request that required a VM that didn't answer: by then the
+# VM has been reconnected, or its roles are being taken over.
 PEER_RETRY_S = 1.0
 
 
@@ -20,14 +20,14 @@
 
 
 class PendingCalls:
-    """The calls of one VM that were sent and not answered, by message id."""
+    """The calls of one VM that await a reply, by message id."""
 
     def __init__(self):
         self._ids = itertools.count(1)
         self._calls: dict[int, _Call] = {}
 
     def new_id(self) -> int:
-        """Return an id that no message of this VM has had."""
+        """Return an unused message id."""
         return next(self._ids)
 
     async def wait(self, message_id: int, vm: str, wait_s: float) -> Any:
@@ -43,13 +43,13 @@
             self._calls.pop(message_id, None)
 
     def settle(self, vm: str, message_id: int, reply: Any) -> None:
-        """Take a reply; one that is late or from another VM is dropped."""
+        """Settle a call; a reply that is late or from another VM is ignored."""
         call = self._calls.get(message_id)
         if call is not None and call.vm == vm:
             _settle(call, outcome_of(reply))
 
-    def lose(self, vm: str) -> None:
-        """Fail all calls to a VM that is not connected any more."""
+    def fail_all(self, vm: str) -> None:
+        """Fail all calls to a VM that is no longer connected."""
         for call in tuple(self._calls.values()):
             if call.vm == vm:
                 _settle(call, unavailable(f"{vm} was lost"))
--- a/hawthornlead/mesh/casts.py
+++ b/hawthornlead/mesh/casts.py
@@ -1,20 +1,20 @@
-"""Sending a message that has no reply, also to oneself.
+"""Sending a message without a reply to any VM, including this one.
 
-A mesh casts only to other VMs, while the owner of a target may be the very VM that
-holds its grant.
+A mesh casts only to other VMs, while the owner of a target may be the VM that holds its
+grant.
 """
 
 from ..tasks import TaskSet
 
-_UNDER_WAY = TaskSet()
+_LOCAL_TASKS = TaskSet()
 
 
 def send(mesh, vm: str, message) -> None:
     """Cast ``message`` to ``vm``; handled in a task of its own if that is this VM.
 
-    A message that is lost must cost no more than time.
+    Messages may be lost: callers must tolerate that with no more than a delay.
     """
     if vm != mesh.vm:
         mesh.cast(vm, message)
         return
-    _UNDER_WAY.spawn(mesh.answer(mesh.myself, message))
+    _LOCAL_TASKS.spawn(mesh.answer(mesh.myself, message))
--- a/hawthornlead/mesh/codecs.py
+++ b/hawthornlead/mesh/codecs.py
@@ -50,8 +50,8 @@
 def encode(frame: Frame, limit: int) -> Result[bytes, Failure]:
     """Encode a frame of at most ``limit`` bytes.
 
-    Fails with ``TOO_LARGE`` over the limit and with ``BAD_MESSAGE`` when the
-    message holds what has no encoding, such as a string that is not Unicode.
+    Fails with ``TOO_LARGE`` over the limit and with ``BAD_MESSAGE`` when the message
+    holds a value that has no encoding, such as a string that is not Unicode.
     """
     name = NAMES[type(frame.message)]
     envelope = (PROTOCOL_VERSION, name, frame.message_id, frame.reply_to, *frame.at)
@@ -74,9 +74,9 @@
     except BadValue as error:
         return _bad(str(error))
     except Exception as error:
-        # The bytes come from outside: tags make the library build dates, decimals
-        # or regular expressions whose constructors raise errors of many classes.
-        # None may pass to the connection's task; all mean a malformed frame.
+        # The bytes are untrusted: tags make the library build dates, decimals or
+        # regular expressions whose constructors raise errors of many classes. None may
+        # reach the connection's task; all mean a malformed frame.
         return _bad(f"not CBOR: {type(error).__name__}")
 
 
@@ -209,18 +209,17 @@
 
 
 class _PlainFields(NamedTuple):
-    """The types of a message's fields where all are plain, and which are integers.
+    """The types of a message's fields if all are plain, and which are integers.
 
-    Most of what VMs send one another are lists of short records of such fields. All
-    types of a record at once take a third of the time that one field after the other
-    does.
+    Most messages between VMs are lists of short records of such fields. Checking all
+    types of a record at once takes a third of the time of checking field by field.
     """
 
     types: list[type]
     integers: tuple[int, ...]
 
     def fit(self, value: Any) -> bool:
-        """Whether an array holds just these fields; if not, each is looked at."""
+        """Whether an array holds exactly these fields; if not, each is checked."""
         if type(value) not in (list, tuple) or list(map(type, value)) != self.types:
             return False
         for index in self.integers:
--- a/hawthornlead/mesh/connections.py
+++ b/hawthornlead/mesh/connections.py
@@ -1,4 +1,4 @@
-"""One connection between two VMs: its first messages, its send queue, its end."""
+"""One connection between two VMs: its handshake, its send queue, its end."""
 
 import asyncio
 import hashlib
@@ -17,33 +17,34 @@
 from ..messages import Challenge, Hello, Proof
 from .codecs import NAMES, Frame, decode, encode
 
-# A slow peer may leave this many largest messages unread before it is dropped.
-QUEUED_MESSAGES = 4
+# A connection is dropped when its send queue exceeds this many messages of the largest
+# size.
+MAX_QUEUED_MESSAGES = 4
 NONCE_BYTES = 32
-# The level that the library asks about, as the standard library numbers it.
+# The debug level as the standard library numbers it.
 DEBUG_LEVEL = 10
 
 
 class QuietLogger:
-    """Takes the library's own log lines, which a mere probe would fill."""
+    """Lowers the log level of the websockets library, which logs every probe."""
 
     def isEnabledFor(self, level: int) -> bool:  # noqa: N802
-        """Leave out the debugging lines, of which there is one for each frame."""
+        """Suppress debug lines, since there is one for each frame."""
         return level > DEBUG_LEVEL
 
     def log(self, level: int, text: str, *args: Any, **options: Any) -> None:
-        """Write a line at the lowest level."""
+        """Log a line at the lowest level."""
         logger.trace(text.replace("%s", "{}").replace("%d", "{}"), *args)
 
     def debug(self, text: str, *args: Any, **options: Any) -> None:
-        """Write a line at the lowest level."""
+        """Log a line at the lowest level."""
         self.log(0, text, *args)
 
     info = warning = error = debug
 
 
 class Connection:
-    """One connection, whichever end dialled it.
+    """One connection, dialled by either end.
 
     ``last_seen_at`` and ``opened_at`` are seconds of the ``TimerService``; ``reason``
     says why this end closed it.
@@ -64,17 +65,17 @@
 
     @property
     def queued_bytes(self) -> int:
-        """Bytes that wait for the peer to read."""
+        """The number of bytes that wait to be sent."""
         return self._queued_bytes
 
     def send(self, data: bytes, message: Any) -> bool:
         """Queue an encoded frame; False when the connection is being closed."""
         if self.reason:
             return False
-        if self._queued_bytes + len(data) > QUEUED_MESSAGES * self._limit:
-            # A peer that reads too slowly, or a silent path, would fill this VM's
-            # memory with unsent frames. Dropping the connection bounds that; the
-            # peer is dialled afresh and asks again for what it missed.
+        if self._queued_bytes + len(data) > MAX_QUEUED_MESSAGES * self._limit:
+            # A peer that reads too slowly, or a silent network path, would fill this
+            # VM's memory with unsent frames. Dropping the connection bounds that; the
+            # peer is dialled again and requests what it missed.
             self.abort("slow")
             return False
         self._count("out", data, message)
@@ -142,7 +143,7 @@
         self._ws.transport.abort()
 
     async def close(self) -> None:
-        """Close in order: what the other end has sent and received counts."""
+        """Close gracefully, so that no frame in flight is lost."""
         self.reason = self.reason or "closed"
         await self._ws.close()
 
@@ -171,7 +172,7 @@
 def checked_hello(
     hello: Hello, own: str, expected: str, ended: Container[tuple[str, str]]
 ) -> Result[Hello, Failure]:
-    """Return the other end's hello if it may be heard.
+    """Return the other end's hello if the connection is acceptable.
 
     ``own`` is this VM, ``expected`` the one that was dialled, empty if none was, and
     ``ended`` holds the processes that are known to have ended.
--- a/hawthornlead/mesh/diallers.py
+++ b/hawthornlead/mesh/diallers.py
@@ -1,6 +1,6 @@
-"""Dialling the other VMs, one task for each: again and again, while not connected.
+"""Dialling of other VMs: one task for each redials it while it is not connected.
 
-The task of a VM rests while any connection with it stands, whoever dialled it.
+The task of a VM pauses while any connection with it is open, whichever end dialled it.
 """
 
 import asyncio
@@ -38,13 +38,13 @@
         options: dict[str, Any],
     ):
         self._vm = settings["VM_NAME"]
-        self._beat_s = settings["HEARTBEAT_S"]
+        self._heartbeat_s = settings["HEARTBEAT_S"]
         self._timers = timers
         self._rng = rng
         self._run = run
         self._options = options
         self._dialled: dict[str, _Dialled] = {}
-        self._vacant: dict[str, asyncio.Event] = {}
+        self._disconnected: dict[str, asyncio.Event] = {}
         self._tasks = TaskSet()
 
     def set_peers(
@@ -66,36 +66,38 @@
             self._dialled[vm] = _Dialled(address, task)
 
     def stop(self) -> None:
-        """Dial nobody any more; connections that were dialled end with it."""
+        """Stop dialling; connections that this end dialled are closed."""
         self._tasks.cancel()
         self._dialled.clear()
 
-    def connected(self, vm: str) -> None:
-        """Note that a connection with a VM stands: it is not dialled."""
-        self._vacancy(vm).clear()
+    def on_connected(self, vm: str) -> None:
+        """Stop dialling a VM that has been connected."""
+        self._disconnected_event(vm).clear()
 
-    def lost(self, vm: str) -> None:
-        """Note that no connection with a VM stands any more."""
-        self._vacancy(vm).set()
+    def on_lost(self, vm: str) -> None:
+        """Dial a VM again that has lost its last connection."""
+        self._disconnected_event(vm).set()
 
     async def _keep_dialled(self, vm: str, address: str, at_once: bool) -> None:
         # The lesser name dials first, so that most pairs never have two.
-        pause_s = 0.0 if at_once else self._beat_s
+        pause_s = 0.0 if at_once else self._heartbeat_s
         while True:
             await self._timers.sleep(pause_s * self._rng.uniform(0.5, 1.5))
-            await self._vacancy(vm).wait()
+            await self._disconnected_event(vm).wait()
             try:
                 ws = await connect(f"ws://{address}/", proxy=None, **self._options)
             except (OSError, EOFError, ValueError, WebSocketException):
-                # ValueError: the address is none. It comes from outside and may be
-                # mended there, so that the dialling must go on.
-                pause_s = min(max(2 * pause_s, self._beat_s / 4), 4 * self._beat_s)
+                # ValueError: the address is invalid. It comes from outside and may be
+                # corrected there, so dialling continues.
+                pause_s = min(
+                    max(2 * pause_s, self._heartbeat_s / 4), 4 * self._heartbeat_s
+                )
                 continue
             await self._run(ws, vm)
-            pause_s = self._beat_s / 4
+            pause_s = self._heartbeat_s / 4
 
-    def _vacancy(self, vm: str) -> asyncio.Event:
-        if vm not in self._vacant:
-            self._vacant[vm] = asyncio.Event()
-            self._vacant[vm].set()
-        return self._vacant[vm]
+    def _disconnected_event(self, vm: str) -> asyncio.Event:
+        if vm not in self._disconnected:
+            self._disconnected[vm] = asyncio.Event()
+            self._disconnected[vm].set()
+        return self._disconnected[vm]
--- a/hawthornlead/mesh/meshes.py
+++ b/hawthornlead/mesh/meshes.py
@@ -1,7 +1,7 @@
-"""What every mesh of VMs offers: handlers by message type and who is at the other end.
+"""The base of every mesh of VMs: handlers by message type, and the peers' details.
 
-``hawthornlead.mesh.peers.PeerMesh`` joins VMs over the network. Tests join them within
-one process by another class with the same interface.
+``hawthornlead.mesh.peers.PeerMesh`` connects VMs over the network. Tests connect them
+within one process by another class with the same interface.
 """
 
 from collections.abc import Awaitable, Callable
@@ -38,10 +38,10 @@
     """The part of a mesh that does not depend on how its messages travel.
 
     ``heartbeat_source`` is called for each heartbeat that is sent; call
-    ``heartbeat_changed`` when what it returns must not wait for the next one.
-    Handlers of ``Hello``, ``Heartbeat`` and ``Goodbye`` are called besides what the
-    mesh itself does with these: when a VM has been connected, when its heartbeat
-    came, when it stopped for good.
+    ``heartbeat_changed`` when its result must not wait for the next one.
+    Handlers of ``Hello``, ``Heartbeat`` and ``Goodbye`` are called in addition to what
+    the mesh itself does with these: when a VM has been connected, when its heartbeat
+    arrived, when it stopped for good.
     """
 
     def __init__(self, *, settings, timers, events, clock, incarnation: str):
@@ -65,7 +65,7 @@
 
     @property
     def address(self) -> str:
-        """The address on which this VM hears other VMs."""
+        """The address on which this VM accepts connections of other VMs."""
         return self._settings["PEER_ADDRESS"]
 
     @property
@@ -81,7 +81,7 @@
         )
 
     def on(self, message_type: type, handler: Handler) -> None:
-        """Let ``handler`` answer messages of a type; there is one for each type."""
+        """Register the handler of a message type; there is one for each type."""
         if message_type in self._handlers:
             raise ValueError(f"{message_type.__name__} has a handler")
         self._handlers[message_type] = handler
@@ -102,7 +102,7 @@
         return Done() if reply is None else reply
 
     async def dispatch(self, sender: PeerInfo, message: Any) -> None:
-        """Call the handler of a message if there is one; its reply is dropped."""
+        """Call the handler of a message if there is one; ignore its reply."""
         if type(message) in self._handlers:
             await self.answer(sender, message)
 
--- a/hawthornlead/mesh/peer_sessions.py
+++ b/hawthornlead/mesh/peer_sessions.py
@@ -1,4 +1,4 @@
-"""What a VM knows of one connected VM: its connections, and which to send on."""
+"""The session with one connected VM: its connections, and which to send on."""
 
 from ..messages import Heartbeat, Hello
 from .connections import Connection
@@ -17,7 +17,7 @@
 
     @property
     def info(self) -> PeerInfo:
-        """The VM as told to other parts."""
+        """The VM as other modules see it."""
         for connection in self.connections:
             self._last_seen_at = max(self._last_seen_at, connection.last_seen_at)
         vm, incarnation, data_centre, address, _ = self.hello
@@ -26,26 +26,29 @@
         )
 
     def add(self, connection: Connection) -> None:
-        """Add a connection, in place of an older one that the same end dialled."""
+        """Add a connection, replacing an older one that the same end dialled."""
         for older in tuple(self.connections):
             if older.dialled == connection.dialled:
                 older.abort("replaced by a fresh connection")
                 self.connections.remove(older)
         self.connections.append(connection)
 
-    def best(self, own: str, heard_after: float) -> Connection:
-        """Return the connection to send on: heard lately, then the lesser name's."""
+    def best(self, own: str, seen_after: float) -> Connection:
+        """Return the connection to send on.
+
+        Recently active ones come first, then the one that the lesser name dialled.
+        """
         first = own < self.hello.vm
         return max(
             self.connections,
-            key=lambda each: (each.last_seen_at > heard_after, each.dialled == first),
+            key=lambda each: (each.last_seen_at > seen_after, each.dialled == first),
         )
 
     def spare(self, own: str, opened_before: float) -> list[Connection]:
-        """Return the connections that ``own`` dialled and should close again.
+        """Return the redundant connections that ``own`` dialled and should close.
 
-        Both ends must have had time to take up the other one, else replies that are
-        under way would be lost with the connection.
+        Both ends must have had time to switch to the other one, or replies in flight
+        would be lost with the connection.
         """
         if len(self.connections) < 2 or own < self.hello.vm:
             return []
--- a/hawthornlead/mesh/peers.py
+++ b/hawthornlead/mesh/peers.py
@@ -3,9 +3,9 @@
 Every VM dials every other. Of two connections between the same VMs the one that the
 lesser name dialled is used, and the other is closed by its dialler once both stand.
 
-A connection on which nothing came for ``PEER_SILENT_S`` is closed and dialled
-afresh, because something between the two ends may have lost track of it while new
-connections work. A malformed frame closes its connection and nothing else.
+A connection on which nothing arrived for ``PEER_SILENT_S`` is closed and dialled
+again, because a device on the path may have lost its state while new connections work.
+A malformed frame closes its connection and nothing else.
 """
 
 import random
@@ -24,13 +24,13 @@
 from .codecs import Frame, encode
 from .connections import Connection, QuietLogger, checked_hello
 from .diallers import Dialler
-from .heartbeats import Beats
+from .heartbeats import HeartbeatSchedule
 from .meshes import Mesh, PeerInfo, failed, outcome_of
 from .peer_sessions import PeerSession
 from .probes import probe
 
 MAX_OPEN_HANDLERS = 1024
-ENDED_KEPT = 1024
+MAX_ENDED = 1024
 TOO_BIG_CODE = 1009
 
 
@@ -79,16 +79,16 @@
             run=self._run,
             options=self._options(),
         )
-        # Incarnations that were replaced or said goodbye; the value tells which.
+        # Incarnations that were replaced or said goodbye; the value is which of these.
         self._ended: dict[tuple[str, str], str] = {}
         self._calls = PendingCalls()
-        self._beats = Beats(settings)
+        self._heartbeats = HeartbeatSchedule(settings)
         self._checked_at = timers.now()
-        self._beaten_at = timers.now()
+        self._heartbeat_sent_at = timers.now()
 
     @property
     def address(self) -> str:
-        """The address on which this VM hears other VMs, its port the real one."""
+        """The address on which this VM accepts connections, with the actual port."""
         return self._address
 
     @property
@@ -98,7 +98,7 @@
 
     @property
     def connections(self) -> int:
-        """Open connections, those that have not said hello yet included."""
+        """The number of open connections, including those before their hello."""
         return len(self._connections)
 
     async def listen(self) -> None:
@@ -111,17 +111,17 @@
         self._address = f"{host}:{port}"
 
     def start(self) -> None:
-        """Begin heartbeats and the watch over silent connections."""
-        beat_s = self._settings["HEARTBEAT_S"]
+        """Start sending heartbeats and checking for silent connections."""
+        interval_s = self._settings["HEARTBEAT_S"]
         self._checked_at = self._timers.now()
         self._subscriptions = [
-            self._timers.every(beat_s, self._check, name="heartbeat"),
+            self._timers.every(interval_s, self._check, name="heartbeat"),
         ]
 
     async def stop(self, goodbye: bool = False) -> None:
-        """Close all connections; ``goodbye`` tells all that this VM is gone for good.
+        """Close all connections; with ``goodbye``, announce that this VM is gone.
 
-        Only a VM that holds nothing any more may say goodbye.
+        Only a VM that no longer holds anything may say goodbye.
         """
         for subscription in self._subscriptions:
             subscription.cancel()
@@ -146,8 +146,8 @@
 
     def heartbeat_changed(self) -> None:
         """Send a heartbeat at once."""
-        self._beaten_at = self._timers.now()
-        self.cast_to(self._beats.of(self._peers), self.heartbeat_source())
+        self._heartbeat_sent_at = self._timers.now()
+        self.cast_to(self._heartbeats.carried_by(self._peers), self.heartbeat_source())
 
     async def probe(self, address: str) -> str:
         """Open a fresh connection to an address and close it again.
@@ -178,7 +178,7 @@
         return await self._calls.wait(message_id, vm, wait_s)
 
     def cast(self, vm: str, message: Any) -> bool:
-        """Send a message that has no reply; False when it can't be sent."""
+        """Send a message without a reply; return False when it can't be sent."""
         if vm == self.vm:
             self._tasks.spawn(self.answer(self.myself, message))
             return True
@@ -186,11 +186,11 @@
         return data.is_ok() and self._send(vm, data.ok_value, message)
 
     def broadcast(self, message: Any) -> None:
-        """Send a message that has no reply to all connected VMs, encoded once."""
+        """Send a message without a reply to all connected VMs, encoded once."""
         self.cast_to(tuple(self._peers), message)
 
     def cast_to(self, vms: Iterable[str], message: Any) -> None:
-        """Send a message that has no reply to some connected VMs, encoded once."""
+        """Send a message without a reply to some connected VMs, encoded once."""
         data = self._encode(message).unwrap()
         for vm in vms:
             self._send(vm, data, message)
@@ -251,7 +251,7 @@
         peer = self._peers.get(hello.vm)
         if peer is not None and peer.hello.incarnation != hello.incarnation:
             # The VM was replaced while its old connection still looks open. A frozen
-            # predecessor may wake and send again; it must not be taken for the VM.
+            # predecessor may resume and send; it must not be mistaken for the VM.
             self._end(peer, "replaced")
             peer = None
         if peer is None:
@@ -259,7 +259,7 @@
         connection.hello = hello
         connection.last_seen_at = self._timers.now()
         peer.add(connection)
-        self._dialler.connected(hello.vm)
+        self._dialler.on_connected(hello.vm)
         self._metrics.peers_live.set(len(self._peers))
         self._events.emit(
             EventKind.PEER_CONNECTED, hello.vm, incarnation=hello.incarnation
@@ -280,24 +280,24 @@
             return
         peer.connections.remove(connection)
         if not peer.connections:
-            self._forget(peer)
+            self._remove_peer(peer)
 
     def _end(self, peer: PeerSession, how: str) -> None:
         self._ended[(peer.hello.vm, peer.hello.incarnation)] = how
-        while len(self._ended) > ENDED_KEPT:
+        while len(self._ended) > MAX_ENDED:
             del self._ended[next(iter(self._ended))]
         for connection in peer.connections:
             connection.abort(how)
-        self._forget(peer)
+        self._remove_peer(peer)
 
-    def _forget(self, peer: PeerSession) -> None:
+    def _remove_peer(self, peer: PeerSession) -> None:
         vm = peer.hello.vm
         if self._peers.get(vm) is not peer:
             return
         del self._peers[vm]
-        self._dialler.lost(vm)
+        self._dialler.on_lost(vm)
         self._metrics.peers_live.set(len(self._peers))
-        self._calls.lose(vm)
+        self._calls.fail_all(vm)
 
     def _refuse(self, connection: Connection, detail: str) -> None:
         vm = connection.hello.vm if connection.hello else "unknown"
@@ -316,8 +316,8 @@
         peer = self._peers.get(vm)
         if peer is None or not peer.connections:
             return False
-        heard_after = self._timers.now() - 2 * self._beats.pause_s(self._peers)
-        return peer.best(self.vm, heard_after).send(data, message)
+        seen_after = self._timers.now() - 2 * self._heartbeats.interval_s(self._peers)
+        return peer.best(self.vm, seen_after).send(data, message)
 
     async def _read(self, connection: Connection, peer: PeerSession) -> None:
         while True:
@@ -330,9 +330,9 @@
             frame = outcome.unwrap()
             connection.last_seen_at = self._timers.now()
             self._clock.observe(frame.at)
-            self._take(peer, frame)
+            self._handle_frame(peer, frame)
 
-    def _take(self, peer: PeerSession, frame: Frame) -> None:
+    def _handle_frame(self, peer: PeerSession, frame: Frame) -> None:
         message = frame.message
         if frame.reply_to:
             self._calls.settle(peer.hello.vm, frame.reply_to, message)
@@ -348,9 +348,9 @@
             self._tasks.spawn(self.dispatch(peer.info, message))
             self._end(peer, "goodbye")
             return
-        self._tasks.spawn(self._handle(peer, frame))
+        self._tasks.spawn(self._answer(peer, frame))
 
-    async def _handle(self, peer: PeerSession, frame: Frame) -> None:
+    async def _answer(self, peer: PeerSession, frame: Frame) -> None:
         if peer.open_handlers >= MAX_OPEN_HANDLERS:
             reply = Failed(ErrorKind.OVERLOADED.value, "too many calls at once", 1.0)
         else:
@@ -369,21 +369,24 @@
 
     def _check(self) -> None:
         now = self._timers.now()
-        pause_s = self._beats.pause_s(self._peers)
+        interval_s = self._heartbeats.interval_s(self._peers)
         late = now - self._checked_at > 2 * self._settings["HEARTBEAT_S"]
         self._checked_at = now
-        if now - self._beaten_at >= pause_s - self._settings["HEARTBEAT_S"] / 2:
+        if (
+            now - self._heartbeat_sent_at
+            >= interval_s - self._settings["HEARTBEAT_S"] / 2
+        ):
             self.heartbeat_changed()
         if late:
-            # This process itself stood still, so that all connections look silent
-            # while their frames wait to be read. They get until the next check.
+            # This process itself was suspended, so all connections look silent while
+            # their frames wait to be read. They get until the next check.
             return
-        for connection in self._beats.silent(self._connections, self._peers, now):
+        for connection in self._heartbeats.silent(self._connections, self._peers, now):
             vm = connection.hello.vm if connection.hello else "unknown"
             self._events.emit(EventKind.PEER_SILENT, vm)
             connection.abort("silent")
         for peer in tuple(self._peers.values()):
-            for connection in peer.spare(self.vm, now - 2 * pause_s):
+            for connection in peer.spare(self.vm, now - 2 * interval_s):
                 self._tasks.spawn(connection.close())
 
     async def _flush(self) -> None:
--- a/hawthornlead/mesh/probes.py
+++ b/hawthornlead/mesh/probes.py
@@ -7,8 +7,8 @@
     """Open a fresh connection to an address and close it again.
 
     ``refused`` proves that no process listens there. ``accepted`` proves nothing,
-    since a frozen process accepts too, nor does ``silent``. What is no address is
-    ``silent``: its refusal would tell of no process.
+    since a frozen process accepts too, nor does ``silent``. An invalid address is
+    ``silent``: a refusal there would not prove anything about a process.
     """
     host, _, port = address.rpartition(":")
     if not port.isdecimal() or not 0 < int(port) < 65536:
--- a/hawthornlead/messages/targets.py
+++ b/hawthornlead/messages/targets.py
@@ -34,9 +34,9 @@
     """Request a grant to run an adapter version from a target's owner.
 
     The owner loads it first if needed, and if that is possible within ``wait_s``.
-    ``load`` False requests only what is already resident. ``ahead`` means that no
-    request waits: the adapter is loaded if that displaces nothing. The owner refuses
-    after ``slot_wait_s`` in which no slot could be freed.
+    ``load`` False requests only what is already resident. ``prefetch`` means that no
+    request waits: the adapter is loaded if that delays no other request. The owner
+    refuses after ``slot_wait_s`` in which no slot could be freed.
     """
 
     target: str
--- a/hawthornlead/tests/test_peers.py
+++ b/hawthornlead/tests/test_peers.py
@@ -142,7 +142,7 @@
     Beaten seldomer at one end only, each connection would look silent at the other and
     be cut again and again.
     """
-    monkeypatch.setattr(heartbeats, "BEAT_EACH_S", 0.3)
+    monkeypatch.setattr(heartbeats, "HEARTBEAT_INTERVAL_PER_PEER_S", 0.3)
     async with running("a", "b", PEER_SILENT_S=0.1) as (a, b):
         await until(lambda: a.live and b.live)
         sent, looked = [], []
