--- a/hawthornlead/gateway/fleet_views.py
+++ b/hawthornlead/gateway/fleet_views.py
@@ -1,4 +1,4 @@
-"""One look at a fleet for who is on call, as one VM sees it.
+"""A snapshot of the fleet for operators, as one VM sees it.
 
 It is served as JSON on the metrics address and printed by ``hawthornlead fleet``::
 
@@ -20,12 +20,12 @@
 from .vm_leases import VmLease
 from .watch_relays import WatchRelays
 
-# Of a larger fleet the VMs that registered first are shown.
-MOST_SHOWN = 1000
+# Of a larger fleet only the VMs with the oldest registrations are shown.
+MAX_SHOWN = 1000
 
 
 class MemberRow(TypedDict):
-    """One VM: when this one heard of it last, None if it doesn't now."""
+    """One VM; ``heard_s`` is the time since it was last seen, None if it is silent."""
 
     vm: str
     data_centre: str
@@ -36,7 +36,7 @@
 
 
 class EngineRow(TypedDict):
-    """One target, who orders it, and whether that VM can be asked."""
+    """One target, its owner, and whether the owner can be reached."""
 
     target: str
     service: str
@@ -45,7 +45,7 @@
 
 
 class KindRow(TypedDict):
-    """One kind of the store's objects, and by what its changes come to this VM."""
+    """One kind of the store's objects, and this VM's source of its changes."""
 
     kind: str
     changes: str
@@ -61,7 +61,7 @@
 
 
 class FleetBody(TypedDict):
-    """All that is shown."""
+    """The whole snapshot."""
 
     vm: str
     incarnation: str
@@ -79,7 +79,7 @@
 
 
 class FleetView:
-    """What one VM knows of the fleet.
+    """Builds the snapshot of the fleet that one VM sees.
 
     ``configuration`` returns the version in force.
     """
@@ -108,11 +108,11 @@
         self._configuration = configuration
 
     def body(self) -> bytes:
-        """Return the view as JSON."""
-        return json.dumps(self.look()).encode()
+        """Return the snapshot as JSON."""
+        return json.dumps(self.snapshot()).encode()
 
-    def look(self) -> FleetBody:
-        """Return the view."""
+    def snapshot(self) -> FleetBody:
+        """Return the snapshot."""
         now = self._timers.now()
         return {
             "vm": self._memberships.vm,
@@ -146,8 +146,8 @@
 
     def _kinds(self) -> list[KindRow]:
         rows: list[KindRow] = []
-        for kind, how in self._relays.change_sources().items():
-            rows.append({"kind": kind, "changes": how})
+        for kind, source in self._relays.change_sources().items():
+            rows.append({"kind": kind, "changes": source})
         return rows
 
     def _members(self, now: float) -> list[MemberRow]:
@@ -158,7 +158,7 @@
         registered_order = self._memberships.registered_order
         order = sorted(registered_order.records, key=registered_order.registered_at)
         rows: list[MemberRow] = []
-        for vm in order[:MOST_SHOWN]:
+        for vm in order[:MAX_SHOWN]:
             record = registered_order.records[vm]
             peer = live.get(vm)
             state = "silent"
@@ -197,7 +197,7 @@
 
 
 def _state_of(heartbeat: Heartbeat | None) -> str:
-    """Return what a VM told of itself."""
+    """Return the state that a VM announces in its heartbeat."""
     if heartbeat is None or not heartbeat.capacity:
         return "not ready"
     return "leaving" if heartbeat.draining else "serving"
--- a/hawthornlead/gateway/records.py
+++ b/hawthornlead/gateway/records.py
@@ -1,7 +1,7 @@
-"""The typed records that the gateway's parts hand one another.
+"""The typed records that the modules of the gateway exchange.
 
-``hawthornlead.platform`` decodes the wire into these and encodes them again; nothing
-here knows how a field is spelled there.
+``hawthornlead.platform`` decodes the wire format into these and encodes them again;
+nothing here depends on field names of the wire format.
 """
 
 from enum import Enum
@@ -9,7 +9,7 @@
 
 
 class RouteKind(Enum):
-    """What may be repeated of a request on a route."""
+    """Whether and how a request on a route may be repeated."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -27,9 +27,9 @@
     """One route of the configuration.
 
     ``attempts`` bounds the targets that one request may be sent to. ``objective_ms``
-    is the time to a good answer, or to the first event of a stream, and
-    ``event_gap_ms`` the longest pause between events that still is good. A request on
-    a ``public`` route needs no key.
+    is the objective for the time to an answer, or to the first event of a stream, and
+    ``event_gap_ms`` that for the longest pause between events. A request on a
+    ``public`` route needs no key.
     """
 
     name: str
@@ -107,10 +107,10 @@
 
 
 class Quota(NamedTuple):
-    """What a workspace may ask for, over all VMs together.
+    """The limit of a workspace's requests, over all VMs together.
 
-    ``rate`` is per second and ``burst`` comes on top of it, both in ``unit``. Where
-    tokens are counted, a request that doesn't tell its tokens counts ``plain_tokens``.
+    ``rate`` is per second and ``burst`` is allowed on top of it, both in ``unit``. If
+    tokens are counted, a request that doesn't state its tokens counts ``plain_tokens``.
     """
 
     rate: float
@@ -119,7 +119,7 @@
     plain_tokens: int = 0
 
     def cost(self, request: "CallerRequest") -> float:
-        """Return what a request takes of the quota."""
+        """Return what a request costs of the quota."""
         if self.unit is QuotaUnit.REQUESTS:
             return 1.0
         if not request.tells_tokens:
@@ -130,7 +130,7 @@
 class Workspace(NamedTuple):
     """A workspace, known by its keys; only digests of these are kept.
 
-    ``priority`` None leaves the route's, ``quota`` None sets no limit.
+    ``priority`` None keeps that of the route, ``quota`` None sets no limit.
     """
 
     name: str
@@ -176,7 +176,7 @@
 
 
 def held_version(models: tuple[HeldModel, ...], model: str, adapter: str) -> int | None:
-    """Return the version at which an adapter stands in a list, None if it doesn't."""
+    """Return the version of an adapter that models hold, None if they don't hold it."""
     for held_model in models:
         for held in held_model.adapters:
             if (held.model, held.adapter) == (model, adapter):
@@ -185,29 +185,29 @@
 
 
 class Incarnation(NamedTuple):
-    """One start of a target: its id, and the Unix millisecond at which it started.
+    """One incarnation of a target: its id, and the Unix millisecond of its start.
 
-    ``started_ms`` is None where the target doesn't tell it.
+    ``started_ms`` is None if the target doesn't state it.
     """
 
     target: str
     started_ms: int | None
 
     def precedes(self, other: "Incarnation") -> bool:
-        """Whether the other is a later start, where both tell theirs."""
+        """Whether the other is known to be a later incarnation."""
         if self.started_ms is None or other.started_ms is None:
             return False
         return self.started_ms < other.started_ms
 
     def matches(self, other: "Incarnation") -> bool:
-        """Whether both may be the same start: one that isn't told matches any."""
+        """Whether both may be the same incarnation; an unknown start matches any."""
         if self.started_ms is None or other.started_ms is None:
             return True
         return self.started_ms == other.started_ms
 
 
 class RestartSeen(Enum):
-    """By what a VM sees that a target has started again."""
+    """How a VM detected that a target has restarted."""
 
     ENTRY = "entry"
     REPORT = "report"
@@ -216,10 +216,10 @@
 
 
 class Loss(Enum):
-    """By what an incarnation of a target is known, or thought, to be over.
+    """Why an incarnation of a target is known, or suspected, to be lost.
 
-    The first two prove that what ran there runs no more; an entry that went and calls
-    that aren't answered leave it open.
+    The first two prove that its requests no longer run; a removed entry and unanswered
+    calls don't.
     """
 
     RESTARTED = "restarted"
@@ -229,9 +229,9 @@
 
 
 class TargetEntry(NamedTuple):
-    """A target as it registers itself; it keeps its id when it starts again.
+    """A target as it registers itself; it keeps its id when it restarts.
 
-    ``started_ms`` is the Unix millisecond of its start, None where it doesn't tell.
+    ``started_ms`` is the Unix millisecond of its start, None if it doesn't state it.
     """
 
     target: str
@@ -246,16 +246,16 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """Which start of the target this entry speaks of."""
+        """The incarnation of the target that this entry describes."""
         return Incarnation(self.target, self.started_ms)
 
 
 class EngineReport(NamedTuple):
-    """What an engine says of itself; it lags some hundred milliseconds.
+    """The state that an engine reports; it lags some hundred milliseconds.
 
     ``order_count`` is the number of orders accepted since the engine's start.
     ``arriving`` are adapters that are being fetched; they use slots too.
-    ``started_ms`` is the Unix millisecond of its start, None where it doesn't tell.
+    ``started_ms`` is the Unix millisecond of its start, None if it doesn't state it.
     """
 
     order_count: int
@@ -270,7 +270,7 @@
 
 
 class OrderKind(Enum):
-    """What an engine is ordered to do."""
+    """The kind of an order to an engine."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -293,7 +293,7 @@
 
 
 class OrderOutcome(Enum):
-    """What an engine made of an order."""
+    """The result of an order to an engine."""
 
     STARTED = "started"
     HOLDS_ALREADY = "holds already"
@@ -303,12 +303,12 @@
 
 
 class CallerRequest(NamedTuple):
-    """What a caller's headers say of its request.
+    """What a caller's headers state about its request.
 
-    ``deadline_ms`` is how long the caller waits, None where it does not say;
-    ``adapter`` is empty for a request to the base model. ``last_event`` is the last
-    event that the caller already has of an earlier, broken stream. ``key_digest`` is
-    empty where the caller sent no key, or none that can be read.
+    ``deadline_ms`` is how long the caller waits, None if not stated; ``adapter`` is
+    empty for a request to the base model. ``last_event`` is the last event that the
+    caller already has of an earlier, broken stream. ``key_digest`` is empty if the
+    caller sent no key, or an unreadable one.
     """
 
     request_id: str
@@ -326,8 +326,8 @@
 class StoredRecord(NamedTuple):
     """One object of the platform's store, at the revision of its last change.
 
-    ``unreadable`` tells that the object exists but that what it holds can't be read;
-    ``spec`` and ``status`` are None where they can't. No decoder accepts it.
+    ``unreadable`` means that the object exists but its content can't be read; ``spec``
+    and ``status`` are None where they can't. No decoder accepts it.
     """
 
     name: str
@@ -350,14 +350,14 @@
 
 
 class StoreEvent(NamedTuple):
-    """One change that a watch tells."""
+    """One change that a watch returns."""
 
     record: StoredRecord
     deleted: bool
 
 
 class StoreChanges(NamedTuple):
-    """The changes that a watch tells at once, and where to continue.
+    """The changes that a watch returns, and the revision to continue from.
 
     ``skipped`` objects have no name or no revision that can be read.
     """
--- a/hawthornlead/gateway/workspaces.py
+++ b/hawthornlead/gateway/workspaces.py
@@ -10,7 +10,7 @@
 
 
 class WorkspaceTable:
-    """The workspaces of one configuration; ``None`` if callers need no keys."""
+    """The workspaces of one configuration; ``None`` means that callers need no keys."""
 
     def __init__(self, workspaces: tuple[Workspace, ...] | None):
         self._keyed = workspaces is not None
@@ -34,7 +34,7 @@
 
 
 def ranked(route: Route, workspace: Workspace | None) -> Route:
-    """Return a route with the priority at which a workspace's requests go."""
+    """Return a route with the priority of a workspace's requests."""
     if workspace is None or workspace.priority is None:
         return route
     return route._replace(priority=workspace.priority)
--- a/hawthornlead/tests/test_fleet_views.py
+++ b/hawthornlead/tests/test_fleet_views.py
@@ -13,7 +13,7 @@
 async def test_a_vm_tells_who_lives_who_orders_and_where_its_beliefs_come_from():
     async with Deployment(vms=3) as deployment:
         gateway = deployment.gateways[0]
-        view = gateway._fleet_view.look()
+        view = gateway._fleet_view.snapshot()
         assert view["vm"] == "vm-1"
         assert view["serving"]
         assert view["configuration"] == 1
@@ -26,7 +26,7 @@
         assert {row["kind"] for row in view["kinds"]} >= {"config", "servers"}
         deployment.gateways[2]._memberships.leave()
         await deployment.until(
-            lambda: gateway._fleet_view.look()["members"][-1]["state"] == "leaving"
+            lambda: gateway._fleet_view.snapshot()["members"][-1]["state"] == "leaving"
         )
 
 
