--- a/hawthornlead/operators/queries.py
+++ b/hawthornlead/operators/queries.py
@@ -135,7 +135,7 @@
     answer = _answer_or_exit(query_vm(vm, "/fleet", {}, ca))
     if as_json:
         return click.echo(json.dumps(answer))
-    own = {name: value for name, value in answer.items() if not isinstance(value, list)}
+    own = {name: field for name, field in answer.items() if not isinstance(field, list)}
     own["relays"] = " ".join(answer["relays"])
     click.echo(as_table(("what", "value"), flat_rows(own)))
     for part in ("kinds", "members", "engines", "quotas"):
