--- a/hawthornlead/tests/fakes_owned_engines.py
+++ b/hawthornlead/tests/fakes_owned_engines.py
@@ -221,8 +221,8 @@
     async def load(self, name, version=0, wait_s=2.0):
         """Have the owner load an adapter."""
         now = self.timers.now()
-        wanted = SlotRequest(AdapterKey("tide", name), 0, now, now)
-        return await self.owner.load(wanted, version, wait_s)
+        request = SlotRequest(AdapterKey("tide", name), 0, now, now)
+        return await self.owner.load(request, version, wait_s)
 
     async def until(self, condition, wait_s=3.0):
         """Wait for a condition, which must become true."""
--- a/hawthornlead/tests/slot_loads.py
+++ b/hawthornlead/tests/slot_loads.py
@@ -32,7 +32,7 @@
 class Outcome(NamedTuple):
     """Outcomes of requests by the rank of their route, and the number of fetches."""
 
-    asked: dict[int, int]
+    requested: dict[int, int]
     in_time: dict[int, int]
     refused: dict[int, int]
     fetched: int
@@ -40,18 +40,18 @@
     @property
     def share_in_time(self) -> float:
         """The share of all requests that started within their objective."""
-        return sum(self.in_time.values()) / sum(self.asked.values())
+        return sum(self.in_time.values()) / sum(self.requested.values())
 
     @property
     def share_refused(self) -> float:
         """The share of all requests that were refused."""
-        return sum(self.refused.values()) / sum(self.asked.values())
+        return sum(self.refused.values()) / sum(self.requested.values())
 
 
 class _Waiting(NamedTuple):
     arrived_at: float
     rank: int
-    wanted: SlotRequest
+    slot_request: SlotRequest
 
 
 class SlotLoad:
@@ -81,31 +81,31 @@
             self._end_loads()
             self._serve_queue()
             if self._rng.random() < self._per_s * STEP_S:
-                self._ask()
+                self._arrive()
         return self._outcome
 
-    def _ask(self) -> None:
+    def _arrive(self) -> None:
         number = self._rng.choices(range(400), self._weights)[0]
         rank = 0 if self._rng.random() < 0.2 else 1
         key = AdapterKey("tide", f"a{number}")
         due_at = self._now + OBJECTIVE_S - LOAD_S - FIRST_S
         waiting = _Waiting(self._now, rank, SlotRequest(key, rank, due_at, due_at))
-        self._outcome.asked[rank] += 1
+        self._outcome.requested[rank] += 1
         self._slots.record_use(key, 1, self._now)
         if self._try(waiting):
             return
-        expected_s = self._queue.expected_wait(waiting.wanted, self._now)
+        expected_s = self._queue.expected_wait(waiting.slot_request, self._now)
         if self._policy.waits and self._now + expected_s <= due_at:
-            self._queue.add(waiting.wanted)
+            self._queue.add(waiting.slot_request)
             self._waiting.append(waiting)
             return
         self._outcome.refused[rank] += 1
 
     def _try(self, waiting: _Waiting) -> bool:
-        key = waiting.wanted.key
+        key = waiting.slot_request.key
         slot = self._slots.slots.get(key)
         if slot is not None and slot.state is SlotState.READY:
-            self._begin(waiting)
+            self._start_run(waiting)
             return True
         if slot is not None:
             self._joined[key].append(waiting)
@@ -125,8 +125,8 @@
         self._outcome = self._outcome._replace(fetched=self._outcome.fetched + 1)
         return True
 
-    def _begin(self, waiting: _Waiting) -> None:
-        key = waiting.wanted.key
+    def _start_run(self, waiting: _Waiting) -> None:
+        key = waiting.slot_request.key
         if self._now + FIRST_S - waiting.arrived_at <= OBJECTIVE_S:
             self._outcome.in_time[waiting.rank] += 1
         self._slots.record_turn(key, "vm-1", self._now)
@@ -152,13 +152,13 @@
             self._arrivals.remove((ready_at, key))
             self._slots.set(key, 1, SlotState.READY, self._now)
             for waiting in self._joined.pop(key):
-                self._begin(waiting)
+                self._start_run(waiting)
 
     def _serve_queue(self) -> None:
         for waiting in tuple(self._waiting):
-            if self._now > waiting.wanted.until:
+            if self._now > waiting.slot_request.until:
                 self._outcome.refused[waiting.rank] += 1
             elif not self._try(waiting):
                 continue
             self._waiting.remove(waiting)
-            self._queue.remove(waiting.wanted)
+            self._queue.remove(waiting.slot_request)
--- a/hawthornlead/tests/test_drains.py
+++ b/hawthornlead/tests/test_drains.py
@@ -58,7 +58,7 @@
     )
 
 
-async def test_kept_answers_are_served_then_refused_with_other_addresses(
+async def test_cached_addresses_are_served_then_refused_with_other_addresses(
     parts, drain, admissions
 ):
     """A caller uses an address that it resolved before the VM started to drain.
--- a/hawthornlead/tests/test_engine_orders.py
+++ b/hawthornlead/tests/test_engine_orders.py
@@ -31,15 +31,15 @@
     whole = False
 
     def __init__(self):
-        self.opening = asyncio.Event()
-        self.go_on = asyncio.Event()
+        self.connecting = asyncio.Event()
+        self.may_open = asyncio.Event()
         self.sent = []
         self.ended = None
 
     async def open(self, address):
         """Open a connection once the test allows it."""
-        self.opening.set()
-        await self.go_on.wait()
+        self.connecting.set()
+        await self.may_open.wait()
         return Ok(self)
 
     def forget(self, address):
@@ -75,9 +75,9 @@
     orders = orders_of(fleet, connections)
     key = AdapterKey("m", "a1")
     giving = asyncio.ensure_future(orders.give(ENTRY, OrderKind.LOAD, key, 1))
-    await connections.opening.wait()
+    await connections.connecting.wait()
     await happen()
-    connections.go_on.set()
+    connections.may_open.set()
     return await giving, connections.sent
 
 
@@ -134,7 +134,7 @@
     assert not sent
 
 
-async def test_orders_whose_answers_all_come_late_have_a_report_read():
+async def test_a_report_is_read_if_all_answers_to_orders_come_late():
     """An engine loads nothing while its answers take over a tenth of a second.
 
     The first order was carried out, but its answer came too late. Each further order
@@ -142,7 +142,7 @@
     """
     fleet = await owned_by_a()
     connections = SlowConnections()
-    connections.go_on.set()
+    connections.may_open.set()
     orders = orders_of(fleet, connections)
     key = AdapterKey("m", "a1")
     for _ in range(MAX_UNANSWERED):
@@ -159,7 +159,7 @@
         return OrderOutcome.STARTED
 
 
-async def test_a_load_of_what_is_on_its_way_is_no_proof_of_the_count():
+async def test_a_load_of_an_arriving_adapter_does_not_confirm_the_count():
     """Streams of a healthy engine are cut because its order count seems to restart."""
     fleet = await owned_by_a()
     orders = orders_of(fleet, SlowConnections())
--- a/hawthornlead/tests/test_engine_owners.py
+++ b/hawthornlead/tests/test_engine_owners.py
@@ -32,7 +32,7 @@
     assert bed.engine.orders[0].fence == 4
 
 
-async def test_who_waits_for_a_load_under_way_is_not_refused_for_others(bed):
+async def test_a_request_waiting_for_its_load_is_not_refused_for_others(bed):
     """A request is refused for "too many loads" although its adapter is arriving.
 
     Four fetches were in progress, including its own, which is the engine's maximum.
@@ -46,7 +46,7 @@
     assert all(loaded.is_ok() for loaded in await asyncio.gather(*first))
 
 
-async def test_what_cannot_be_fetched_in_time_is_refused_with_when(bed):
+async def test_what_cannot_be_fetched_in_time_is_refused_with_a_retry_time(bed):
     names = [f"a{number}" for number in range(MAX_ARRIVING)]
     first = [asyncio.create_task(bed.load(name)) for name in names]
     while bed.owner.slots.arriving < MAX_ARRIVING:
@@ -67,7 +67,7 @@
     assert bed.engine.most <= SLOTS
 
 
-async def test_an_order_carried_out_late_does_no_harm(bed):
+async def test_an_order_carried_out_late_is_harmless(bed):
     """A load beyond the slots crashes an engine, seconds after it was ordered.
 
     The order got no answer and was carried out after newer orders had filled the slots.
@@ -80,7 +80,7 @@
     assert bed.engine.most <= SLOTS
 
 
-async def test_an_order_taken_without_an_answer_is_found_out(bed):
+async def test_an_order_taken_without_an_answer_is_detected(bed):
     bed.engine.mute = 1
     assert (await bed.load("a1")).is_ok()
     assert list(bed.engine.held) == ["a1"]
@@ -116,7 +116,7 @@
     assert len(bed.engine.orders) == given
 
 
-async def test_an_adapter_that_others_use_is_not_ordered_out(bed):
+async def test_an_adapter_that_others_use_is_not_unloaded(bed):
     for number in range(SLOTS):
         assert (await bed.load(f"a{number}")).is_ok()
     await asyncio.sleep(0.3)
@@ -154,7 +154,7 @@
     assert bed.engine.orders[-1].adapter == ""
 
 
-async def test_a_refused_request_makes_the_owner_look_again(bed):
+async def test_a_refused_request_makes_the_owner_read_a_report(bed):
     assert (await bed.load("a1")).is_ok()
     bed.engine.held.pop("a1")
     bed.owner.on_adapter_missing(AdapterKey("tide", "a1"))
@@ -164,7 +164,7 @@
     assert len(bed.engine.orders) == 2
 
 
-async def test_an_adapter_foreseen_too_early_holds_up_no_other_order(bed):
+async def test_an_adapter_predicted_too_early_delays_no_other_order(bed):
     """Requests for all adapters of an engine wait because one was a little late.
 
     A request was sent when its adapter was predicted to be ready, and was refused. The
@@ -194,7 +194,7 @@
     assert bed.owner.reserve(key, "vm-1", prompt(500, 1.0)).held
 
 
-async def test_a_turn_that_is_too_late_is_told_and_not_reserved(bed):
+async def test_a_turn_that_is_too_late_is_reported_and_not_reserved(bed):
     key = AdapterKey("tide", "a1")
     assert (await bed.load("a1")).is_ok()
     for _ in range(4):
@@ -208,9 +208,7 @@
     assert bed.owner.holdings.turn_s == pytest.approx(short.wait_s, abs=0.05)
 
 
-async def test_a_load_that_is_turned_down_is_not_asked_again_without_a_pause(
-    bed, monkeypatch
-):
+async def test_a_refused_load_is_not_retried_without_a_pause(bed, monkeypatch):
     """A VM stops answering, and its engines get no orders.
 
     An owner refused a load because the old version of its adapter was in use. The
@@ -224,8 +222,8 @@
 
     monkeypatch.setattr(bed.owner._checks, "refusal", refusal)
     now = bed.timers.now()
-    wanted = SlotRequest(AdapterKey("tide", "a1"), 0, now + 0.3, now + 0.3)
-    loaded = await bed.owner.load(wanted, 0, 1.0)
+    request = SlotRequest(AdapterKey("tide", "a1"), 0, now + 0.3, now + 0.3)
+    loaded = await bed.owner.load(request, 0, 1.0)
     assert loaded.unwrap_err().kind is ErrorKind.NO_SLOT
     assert len(asked) < 30
 
@@ -246,8 +244,8 @@
     """
     await fill(bed)
     now = bed.timers.now()
-    wanted = SlotRequest(AdapterKey("tide", "new"), 0, now + 2.0, now + 2.0)
-    loading = asyncio.create_task(bed.owner.load(wanted, 0, 3.0))
+    request = SlotRequest(AdapterKey("tide", "new"), 0, now + 2.0, now + 2.0)
+    loading = asyncio.create_task(bed.owner.load(request, 0, 3.0))
     await asyncio.sleep(0.15)
     assert not loading.done()
     del bed.in_use.adapters[AdapterKey("tide", "a1")]
@@ -256,7 +254,7 @@
     assert not bed.owner.slots.ready(AdapterKey("tide", "a1"), 0)
 
 
-async def test_a_request_that_cannot_wait_long_enough_is_told_when_a_slot_comes(bed):
+async def test_a_request_that_cannot_wait_long_enough_gets_a_retry_time(bed):
     await fill(bed)
     refused = await bed.load("new")
     assert refused.unwrap_err().kind is ErrorKind.NO_SLOT
--- a/hawthornlead/tests/test_evictions.py
+++ b/hawthornlead/tests/test_evictions.py
@@ -27,12 +27,12 @@
         assert choose(name, ()) is None
 
 
-def test_lru_evicts_the_one_asked_for_longest_ago():
+def test_lru_evicts_the_least_recently_requested():
     assert choose("lru").adapter == "hot"
 
 
-def test_a_one_off_request_does_not_push_out_a_hot_adapter():
-    """A one-off request has just run; the hot adapter is idle for some seconds.
+def test_a_single_request_does_not_evict_a_hot_adapter():
+    """A single request has just run, and the hot adapter has been idle for seconds.
 
     LRU would evict the hot one, whose next requests then wait for a reload.
     """
@@ -48,6 +48,6 @@
     assert chosen.adapter == "hot"
 
 
-def test_a_version_never_asked_for_goes_first():
+def test_a_version_never_requested_is_evicted_first():
     residents = (*RESIDENTS, Resident("retired", "1", 0))
     assert choose("popularity", residents).adapter == "retired"
--- a/hawthornlead/tests/test_gateway_decisions.py
+++ b/hawthornlead/tests/test_gateway_decisions.py
@@ -1,4 +1,4 @@
-"""Tests of the gateway's small decisions: paces, arrivals, slots, loads, healths."""
+"""Tests of the gateway's decisions: prompt pacing, arrivals, slots, loads, healths."""
 
 import pytest
 from hypothesis import given
@@ -55,15 +55,15 @@
     return AdapterKey("tide", name)
 
 
-# A pause between two events that callers bear.
+# The time between two events that callers tolerate.
 GAP_MS = 300.0
 
 
 def test_prompts_that_come_at_once_are_spread_out():
-    """Streams pause for half a second though their engine is half empty.
+    """Streams pause for half a second although their engine is half empty.
 
-    Several callers' long prompts came together and the engine read them one after
-    the other between two tokens of everybody else.
+    Long prompts of several callers arrived together, and the engine read them one after
+    the other between two tokens of all other streams.
     """
     pacer = PromptPacer()
     waits = [pacer.reserve(4000, GAP_MS, now=5.0) for _ in range(4)]
@@ -84,9 +84,9 @@
 
 @pytest.mark.parametrize("gap_ms", [250.0, 300.0, 400.0])
 def test_a_long_prompt_waits_for_those_before_it(gap_ms):
-    """All streams of an engine pause for longer than their callers bear.
+    """All streams of an engine pause for longer than their callers tolerate.
 
-    A prompt that takes nearly as long as the pause began while another was being read.
+    A prompt that takes nearly the whole gap started while another was being read.
     """
     pacer = PromptPacer()
     long = int((gap_ms * (1 - DUTY) - EVENT_MS + 1) * TOKENS_PER_MS)
@@ -113,7 +113,7 @@
             read_s += tokens / TOKENS_PER_MS / 1000
 
 
-def test_arrivals_are_foreseen_only_once_observed():
+def test_arrivals_are_predicted_only_once_observed():
     times = ArrivalTimes()
     assert times.expected_s is None
     for seen_s in (0.37, 0.39, 0.38):
@@ -121,11 +121,11 @@
     assert 0.24 < times.expected_s < 0.3
 
 
-def test_a_report_of_an_earlier_stay_does_not_shorten_what_is_foreseen():
-    """Requests are sent to adapters that are still on their way.
+def test_a_report_of_an_earlier_residency_does_not_shorten_predictions():
+    """Requests are sent to adapters that are still arriving.
 
-    An adapter was evicted and loaded again at once; the lagging report still showed
-    its earlier stay, and the load seemed to take 10 ms.
+    An adapter was evicted and loaded again at once. The lagging report still showed its
+    earlier residency, so the load seemed to take 10 ms.
     """
     times = ArrivalTimes()
     for seen_s in (0.37, 0.01, 0.39, 0.02, 0.03, 0.38, 0.01):
@@ -133,7 +133,7 @@
     assert times.expected_s > 0.24
 
 
-def test_a_refusal_lengthens_what_is_foreseen():
+def test_a_refusal_lengthens_predictions():
     times = ArrivalTimes()
     for _ in range(3):
         times.observe(0.37)
@@ -158,12 +158,12 @@
 
 
 def test_an_adapter_may_leave_as_soon_as_its_requests_are_known_to_have_ended():
-    """Callers are refused for want of a slot though engines have idle ones.
+    """Callers are refused for lack of a slot although engines have idle adapters.
 
-    An adapter counted as in use until each VM's next word and 0.39 s more, which is as
-    long as most runs: of 3,975 loads turned down on a heavy day two thirds were at
-    engines with an idle adapter. Each request's end is told now; only a lost word
-    leaves the old waits.
+    An adapter counted as in use until each VM's next announcement plus 0.39 s, which is
+    as long as most runs. Of 3,975 loads refused on a heavy day two thirds were at
+    engines with an idle adapter. The owner is notified of each request's end, and only
+    a lost notice leaves these waits.
     """
     slots = EngineSlots(SPEC)
     slots.apply_report(report(ready=("a1",)), now=0.0)
@@ -176,11 +176,11 @@
     assert slots.victim(now=10.1, announce_interval_s=0.24) == key("a1")
 
 
-def test_a_turn_whose_end_is_never_told_is_dropped():
-    """A VM's memory grows for as long as it lives.
+def test_a_turn_whose_end_is_never_reported_is_discarded():
+    """A VM's memory grows without bound.
 
-    VMs that are killed never tell the ends of their requests, and an adapter that has
-    left is not looked at again.
+    Killed VMs never report the ends of their requests, and an evicted adapter is not
+    checked again.
     """
     slots = EngineSlots(SPEC)
     for number in range(50):
@@ -191,7 +191,7 @@
     assert not slots._turns
 
 
-def test_an_end_that_is_told_twice_frees_no_other_request():
+def test_an_end_that_is_reported_twice_ends_no_other_request():
     slots = EngineSlots(SPEC)
     slots.apply_report(report(ready=("a1",)), now=0.0)
     slots.record_turn(key("a1"), "vm-1", at=10.0)
@@ -199,14 +199,14 @@
     assert slots.victim(now=10.1, announce_interval_s=0.24) is None
 
 
-def test_an_adapter_that_has_just_come_waits_for_who_asked_for_it():
+def test_an_adapter_that_has_just_arrived_is_kept_for_its_requests():
     slots = EngineSlots(SPEC)
     slots.set(key("a1"), 1, SlotState.READY, now=10.0)
     assert slots.victim(now=10.0 + TURN_REQUEST_GRACE_S / 2) is None
     assert slots.victim(now=10.0 + 2 * TURN_REQUEST_GRACE_S) == key("a1")
 
 
-def test_the_least_asked_for_adapter_is_evicted_first():
+def test_the_least_requested_adapter_is_evicted_first():
     slots = EngineSlots(SPEC)
     slots.apply_report(report(ready=("a1", "a2", "a3")), now=0.0)
     for name, count in (("a1", 6), ("a2", 1), ("a3", 9)):
@@ -215,7 +215,7 @@
 
 
 def test_arriving_and_leaving_adapters_use_slots():
-    """An engine breaks down when it is ordered to load more than it has slots."""
+    """An engine crashes when it is ordered to load more adapters than it has slots."""
     slots = EngineSlots(SPEC)
     slots.apply_report(report(ready=("a1",), arriving=("a2",)), now=0.0)
     assert slots.has_capacity(key("a9"))
@@ -233,7 +233,7 @@
     assert not slots.has_capacity(key("a2"))
 
 
-def test_loads_of_silent_vms_are_forgotten(timers):
+def test_loads_of_silent_vms_expire(timers):
     loads = TargetLoads(timers=timers)
     update = VmLoads((TargetLoad("e1", 4, (AdapterUse("tide", "a1", 4, 4),)),))
     loads.apply_loads("vm-2", update)
@@ -246,7 +246,7 @@
     assert loads.own_total == 0
 
 
-def test_each_start_is_told_once_even_if_it_has_ended(timers):
+def test_each_started_request_is_announced_once_even_if_it_has_ended(timers):
     loads = TargetLoads(timers=timers)
     loads.on_request_started("e1", key("a1"))
     loads.on_request_ended("e1", key("a1"))
@@ -266,7 +266,7 @@
     assert not healths.is_suspect("e1")
 
 
-def test_failures_cost_and_are_forgotten(timers):
+def test_failures_add_cost_and_expire(timers):
     healths = TargetHealths(timers=timers)
     for _ in range(5):
         healths.record_failure("e1")
@@ -278,7 +278,7 @@
     assert healths.cost_ms("e2") == 0
 
 
-async def test_a_drain_serves_kept_answers_and_then_refuses(timers):
+async def test_a_drain_serves_cached_answers_and_then_refuses(timers):
     open_requests = [1]
     drain = Drain(
         timers=timers,
@@ -294,10 +294,11 @@
 
 
 async def test_a_drain_cuts_no_request_that_came_late(timers):
-    """A stream breaks off in the middle because its VM was restarted.
+    """A stream is cut off because its VM was restarted.
 
-    It came 4 s after the VM was asked to stop, was taken, and was cut off 4 s later as
-    the grace was over. Requests that surely end before that are served all the same.
+    It arrived 4 s after the VM was asked to stop, was accepted, and was cut off 4 s
+    later at the end of the grace period. Requests whose deadline is before that are
+    still served.
     """
     drain = Drain(
         timers=timers, grace_s=8.0, readiness_ttl_s=1.0, open_requests=lambda: 1
@@ -312,10 +313,10 @@
     assert drain.refusal(0.6) is None
 
 
-def test_what_is_known_of_targets_that_are_gone_is_dropped(timers):
-    """Engines restart 69 times a day, each time under another id.
+def test_state_of_targets_that_are_gone_is_discarded(timers):
+    """A VM's memory grows: engines restart 69 times a day, each time under another id.
 
-    What a VM noted of each would stay for the life of its process.
+    The state of each would be kept for the life of the VM's process.
     """
     healths = TargetHealths(timers=timers)
     for target in ("e1", "e2"):
@@ -330,8 +331,8 @@
     assert not loads._own_uses
 
 
-def test_counts_of_adapters_that_nobody_asks_for_are_dropped():
-    """A VM meets thousands of adapters a day, most of them once."""
+def test_counts_of_adapters_without_requests_are_discarded():
+    """A VM's memory grows: it sees thousands of adapters a day, most of them once."""
     slots = EngineSlots(SPEC)
     slots.record_use(key("a1"), 1, now=0.0)
     slots.record_use(key("a2"), 1, now=0.0)
--- a/hawthornlead/tests/test_gateway_drains.py
+++ b/hawthornlead/tests/test_gateway_drains.py
@@ -31,7 +31,7 @@
         await draining
 
 
-async def test_a_request_on_its_way_as_a_vm_ends_is_answered():
+async def test_a_request_in_flight_as_a_vm_ends_is_answered():
     """A caller's stream is cut off without an answer by a graceful restart.
 
     The VM had waited until no request was open. At that moment the caller connected,
@@ -58,7 +58,7 @@
         assert answer.whole
 
 
-async def test_an_engine_changes_hands_at_once_when_its_owner_leaves():
+async def test_an_engine_is_claimed_at_once_when_its_owner_leaves():
     async with Deployment() as deployment:
         first = deployment.gateways[0]
         await deployment.until(
@@ -75,7 +75,7 @@
             assert after > fence if target in owned else after == fence
 
 
-async def test_engines_are_ordered_while_the_vm_that_gave_them_back_still_runs():
+async def test_engines_are_ordered_while_the_vm_that_released_them_still_runs():
     """New adapters are refused for seconds at each restart of a VM.
 
     A stopping VM released its engines at once, and served callers for three seconds
@@ -105,7 +105,7 @@
     return {gateway._targets.owner(target) for target in engines}
 
 
-async def test_a_vm_that_leaves_tells_of_its_requests_to_their_end():
+async def test_a_leaving_vm_announces_its_requests_until_they_end():
     """After a VM stops, engines with free slots refuse requests for seconds.
 
     The VM no longer announced the streams that it still served. After 3 s the owner of
@@ -123,16 +123,16 @@
         target = next(e.target for e in deployment.engines if e.ran)
         leaving, staying = deployment.gateways
         draining = asyncio.create_task(leaving.drain())
-        told = staying._engine_manager
-        await deployment.until(lambda: told.running(target).get(key) == 1)
+        staying_manager = staying._engine_manager
+        await deployment.until(lambda: staying_manager.running(target).get(key) == 1)
         await asyncio.sleep(UPDATE_TTL_S + 0.5)
         assert not asking.done()
-        assert told.running(target).get(key) == 1
+        assert staying_manager.running(target).get(key) == 1
         assert (await asking).status == 200
         await draining
 
 
-async def test_a_vm_that_leaves_orders_on_while_the_store_is_away():
+async def test_a_leaving_vm_keeps_giving_orders_in_a_store_outage():
     """No adapters are loaded for seconds when VMs restart during a store outage.
 
     A stopping VM released its engines at once. The store didn't take the release, and
@@ -158,7 +158,7 @@
         await draining
 
 
-async def test_an_engine_is_given_back_once_no_order_can_be_on_its_way():
+async def test_an_engine_is_released_once_no_order_can_be_in_flight():
     """Two VMs order one engine at the same time when one of them restarts.
 
     The last order of the stopping VM got no answer. Its packet was lost and was
@@ -171,8 +171,8 @@
         for each in deployment.engines:
             each.mute_orders = 100
         owner = leaving._engine_manager._owners[target]
-        wanted = SlotRequest(AdapterKey(MODEL, "a5"), 0, 0.0, 0.0)
-        loading = asyncio.create_task(owner.load(wanted, 0, 5.0))
+        request = SlotRequest(AdapterKey(MODEL, "a5"), 0, 0.0, 0.0)
+        loading = asyncio.create_task(owner.load(request, 0, 5.0))
         await deployment.until(lambda: engine.orders)
         draining = asyncio.create_task(leaving.drain())
         vm = leaving._memberships.vm
--- a/hawthornlead/tests/test_holding_announcements.py
+++ b/hawthornlead/tests/test_holding_announcements.py
@@ -81,7 +81,7 @@
     fleet.stop()
 
 
-async def test_all_vms_hear_the_newest_of_several_changes(large):
+async def test_all_vms_receive_the_newest_of_several_changes(large):
     """A VM spends most of its processor time on updates of other VMs' engines.
 
     Each change of each engine was a message to every VM. Changes in quick succession
@@ -98,7 +98,7 @@
         assert vm.received_count["e1"] <= 1
 
 
-async def test_words_of_all_data_centres_reach_all(large):
+async def test_announcements_of_all_data_centres_reach_all(large):
     for data_centre in DATA_CENTRE_VMS:
         name = f"{data_centre}-5"
         large.vms[name].announcements.announce(make_holdings(f"e-{data_centre}", "a1"))
@@ -108,7 +108,7 @@
             assert f"e-{data_centre}" in vm.received
 
 
-async def test_what_a_head_lost_is_told_again(large):
+async def test_what_a_head_lost_is_reannounced(large):
     """A VM keeps asking an engine's former owner, which refuses each time.
 
     The head that had gathered the new owner's update was killed before forwarding it.
@@ -122,7 +122,7 @@
         assert vm.received["e1"][0] == "gijon-2"
 
 
-async def test_what_was_told_while_nobody_passes_on_is_not_lost(large):
+async def test_an_announcement_made_without_a_head_is_not_lost(large):
     """A new owner's update is lost because there was no head when it was sent."""
     heads = [name for name in large.fleet.heads() if name.startswith("gijon")]
     for name in heads:
@@ -136,7 +136,7 @@
         assert vm.received["e1"][0] == owner
 
 
-async def test_a_vm_that_restarts_is_told_at_once_what_engines_hold(large):
+async def test_a_restarted_vm_receives_all_holdings_at_once(large):
     """A VM that has just started loads adapters that engines hold already.
 
     It received an engine's holdings only at a change or at the next reannouncement.
@@ -148,7 +148,7 @@
     assert large.vms["santander-8"].received["e1"][0] == "gijon-2"
 
 
-async def test_a_small_fleet_tells_at_once():
+async def test_a_small_fleet_announces_at_once():
     fleet = HoldingFleet({"gijon": 5, "bilbao": 4})
     await fleet.fleet.settle(1.0)
     fleet.vms["gijon-2"].announcements.announce(make_holdings("e1", "a1"))
--- a/hawthornlead/tests/test_limits.py
+++ b/hawthornlead/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Admission by caller and by priority."""
+"""Tests of admission by caller and by priority."""
 
 import random
 
@@ -27,7 +27,7 @@
     return Admissions(settings=settings, timers=timers, rng=random.Random(1))
 
 
-async def test_rate_allows_a_burst_then_says_when_to_come_back(admissions, timers):
+async def test_rate_allows_a_burst_then_gives_a_retry_time(admissions, timers):
     assert all(admissions.admit(make_terms(), 5).is_ok() for _ in range(3))
     refused = admissions.admit(make_terms(), 5).err_value
     assert refused.kind is ErrorKind.CALLER_LIMITED
@@ -51,7 +51,7 @@
     """One caller floods a VM.
 
     Its requests beyond its own limit are refused before they take any of the VM's
-    room, so that another caller is admitted as if it were alone.
+    capacity, so another caller is admitted as if it were alone.
     """
     flood = make_terms(name="flood", rate=1.0, burst=5, concurrency=4)
     outcomes = [admissions.admit(flood, 9) for _ in range(1000)]
@@ -60,10 +60,10 @@
 
 
 async def test_low_priorities_are_refused_first_as_the_vm_fills(admissions):
-    """A race weekend fills a VM with paperwork of low priority.
+    """Requests of low priority fill a VM.
 
-    The low priority is refused while room is left, which the high priority then
-    finds; at the last place both are refused.
+    The low priority is refused while capacity is left for the high priority. When the
+    VM is full, both are refused.
     """
     low, high = make_terms("low", burst=99), make_terms("high", burst=99)
     admitted = [admissions.admit(low, 0).is_ok() for _ in range(20)]
@@ -75,7 +75,7 @@
     assert admissions.admit(high, 9).is_err()
 
 
-async def test_a_request_refused_for_room_costs_no_token(admissions):
+async def test_a_request_refused_for_capacity_costs_no_token(admissions):
     filler = make_terms("filler", burst=99)
     while admissions.admit(filler, 9).is_ok():
         pass
@@ -90,7 +90,7 @@
     assert (shares[0], shares[-1]) == (0.55, 1.0)
 
 
-async def test_idle_callers_are_forgotten(admissions):
+async def test_idle_callers_are_evicted(admissions):
     for number in range(MAX_CALLERS + 100):
         admissions.admit(make_terms(f"caller-{number}"), 9).map(lambda a: a.release())
     assert len(admissions._callers) == MAX_CALLERS
--- a/hawthornlead/tests/test_load_announcements.py
+++ b/hawthornlead/tests/test_load_announcements.py
@@ -1,4 +1,4 @@
-"""Tests of how VMs tell one another of their requests."""
+"""Tests of announcing the requests of each VM to the others."""
 
 import pytest
 
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 async def large():
-    """A large fleet in which all have heard of all."""
+    """A large fleet in which all VMs have seen each other."""
     fleet = FakeFleet(DATA_CENTRE_VMS)
     await fleet.settle()
     yield fleet
@@ -31,7 +31,7 @@
     return {name: vm for name, vm in fleet.vms.items() if name not in fleet.heads()}
 
 
-async def test_all_vms_hear_of_a_request_through_heads(large):
+async def test_all_vms_learn_of_a_request_through_heads(large):
     large.vms["bilbao-3"].loads.on_request_started("i-1", KEY)
     await large.settle(ANNOUNCED_WITHIN_S + 0.1)
     assert running(large) == {1}
@@ -47,11 +47,11 @@
     assert running(large) == {4}
 
 
-async def test_own_requests_count_at_once_beside_what_is_told(large):
-    """A VM sends all its requests to the engine that it thinks is idle.
+async def test_own_requests_count_at_once_beside_those_announced(large):
+    """A VM sends all its requests to an engine that it takes for idle.
 
-    What heads tell of an engine is a second old, and this VM's newest requests aren't
-    in it yet; nor may those that are be counted twice.
+    The totals from heads are a second old and lack this VM's newest requests. Its
+    requests that they do include must not be counted twice.
     """
     vm = large.vms["bilbao-3"]
     large.vms["gijon-4"].loads.on_request_started("i-1", KEY)
@@ -65,11 +65,11 @@
     assert vm.loads.running("i-1") == 1
 
 
-async def test_owners_hear_of_each_start_once(large):
-    """An adapter looks twice as much in demand as it is.
+async def test_owners_count_each_started_request_once(large):
+    """An adapter seems twice as much in demand as it is.
 
-    Evictions go by the starts that VMs tell. A word that came once from its VM and
-    once more through a head would count its starts twice.
+    Evictions use the started requests that VMs announce. An update received both from
+    its VM and through a head would count them twice.
     """
     owners = [large.vms[name] for name in ("bilbao-7", "santander-0")]
     for owner in owners:
@@ -85,7 +85,7 @@
     assert {owner.loads.adapters_running("i-1")[KEY] for owner in owners} == {2}
 
 
-async def test_only_owners_hear_which_adapters_are_used(large):
+async def test_only_owners_learn_which_adapters_are_used(large):
     await large.settle(1.0)
     large.vms["gijon-7"].loads.on_request_started("i-1", KEY)
     await large.settle(2 * ANNOUNCED_WITHIN_S)
@@ -93,20 +93,20 @@
     assert all(not vm.loads.adapters_running("i-1") for vm in others_of_gijon)
 
 
-async def test_a_vm_of_a_large_fleet_takes_few_messages(large):
+async def test_a_vm_of_a_large_fleet_receives_few_messages(large):
     for vm in large.vms.values():
         vm.heard.clear()
     await large.settle(10 * GATHER_INTERVAL_S)
     assert max(vm.heard.total() for vm in others(large).values()) <= 11
-    # A head hears the VMs of its own data centre and the other heads.
+    # A head receives from the VMs of its own data centre and from the other heads.
     most = 11 * (max(DATA_CENTRE_VMS.values()) + 2 * len(DATA_CENTRE_VMS))
     assert max(vm.heard.total() for vm in large.vms.values()) <= most
 
 
 async def test_another_head_takes_over_from_one_that_is_gone(large):
-    """The head of a data centre is killed, and what its VMs do is not heard any more.
+    """The head of a data centre is killed, and its VMs' requests are not announced.
 
-    The other VMs would send more and more requests to the engines that those fill.
+    The other VMs would send more and more requests to engines that are already full.
     """
     head = next(name for name in large.heads() if name.startswith("bilbao"))
     large.kill(head)
@@ -116,7 +116,7 @@
     assert running(large) == {1}
 
 
-async def test_requests_of_a_vm_that_is_gone_count_no_more(large):
+async def test_requests_of_a_vm_that_is_gone_no_longer_count(large):
     large.vms["bilbao-8"].loads.on_request_started("i-1", KEY)
     await large.settle(ANNOUNCED_WITHIN_S + 0.1)
     large.kill("bilbao-8")
@@ -124,7 +124,7 @@
     assert running(large) == {0}
 
 
-async def test_in_a_small_fleet_each_vm_tells_all_others():
+async def test_in_a_small_fleet_each_vm_announces_to_all_others():
     fleet = FakeFleet({"gijon": 5, "bilbao": 4})
     await fleet.settle(1.0)
     fleet.vms["bilbao-3"].loads.on_request_started("i-1", KEY)
--- a/hawthornlead/tests/test_load_orders.py
+++ b/hawthornlead/tests/test_load_orders.py
@@ -28,16 +28,16 @@
 
 
 def test_low_priority_is_not_starved():
-    """A burst of urgent loads outruns the weight store for minutes.
+    """A burst of urgent loads exceeds the weight store's bandwidth for minutes.
 
-    When priority alone decides, a caller of priority 0 waits until the burst is
-    over; it must wait no longer than the leads allow.
+    If priority alone decides, a caller of priority 0 waits until the burst is over. It
+    must wait no longer than the leads allow.
     """
     old = make("old", priority=0)
     assert sort("deadline", make("new", 9, asked_at=20.0), old) == ["old", "new"]
 
 
-def test_a_closing_trading_window_goes_before_an_earlier_request():
+def test_a_close_deadline_goes_before_an_earlier_request():
     due = make("due", deadline_at=2.0, asked_at=1.0)
     assert sort("deadline", make("early"), due) == ["due", "early"]
 
@@ -59,10 +59,9 @@
     gap=st.floats(12.0, 100.0),
 )
 def test_a_load_overtakes_only_for_a_bounded_time(waiting, newer, gap):
-    """A cold adapter's request would wait for ever behind a stream of busier ones.
+    """A request for a cold adapter waits forever behind a stream of busier adapters.
 
-    With up to 64 requests waiting for a newer load, one asked for 12 s later must
-    not go first.
+    Even with 64 requests waiting for it, a load requested 12 s later must not go first.
     """
     old = make("old", waiting=waiting)
     other = make("new", asked_at=gap, waiting=newer)
--- a/hawthornlead/tests/test_owner_objects.py
+++ b/hawthornlead/tests/test_owner_objects.py
@@ -1,4 +1,4 @@
-"""Tests of owning engines when the objects that tell owners can't be trusted."""
+"""Tests of owning engines when owner and lease objects are unreadable or missing."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 
 from .fakes_leases import Fleet
 
-# What another writer may leave in an object: nothing, texts, other types, less fields.
+# What another writer may leave in an object: nothing, text, wrong types, fewer fields.
 SCRAMBLED = [
     None,
     {},
@@ -36,11 +36,11 @@
             await vm.lease._renew()
 
 
-async def test_fences_go_on_where_the_owner_object_cannot_be_read():
-    """Two VMs order one engine under fences that go back, and the day is lost.
+async def test_fences_keep_rising_if_the_owner_object_is_unreadable():
+    """Two VMs order one engine under fences that decrease.
 
-    An engine was owned and given back. Then its owner object turned unreadable, and
-    the next claim read its fence as none and began at 1 again.
+    An engine was owned and released. Then its owner object became unreadable, and the
+    next claim read no fence and started at 1 again.
     """
     for spec in SCRAMBLED:
         fleet = await two_with_leases()
@@ -54,8 +54,8 @@
         assert fleet.b.ownerships.current("e1").fence > last
 
 
-async def test_a_fence_is_never_below_one_of_an_object_that_went():
-    """The same with an object that was removed and written anew by another writer."""
+async def test_a_fence_is_never_below_one_of_a_removed_object():
+    """The same with an object that another writer removed and wrote again."""
     for spec in SCRAMBLED:
         fleet = await two_with_leases()
         assert await fleet.a.ownerships.claim("e1")
@@ -69,10 +69,10 @@
 
 
 async def test_an_unreadable_owner_object_does_not_free_an_owned_engine():
-    """Two VMs order one engine by turns.
+    """Two VMs order one engine alternately.
 
-    A VM owned an engine and went on ordering it. Its owner object turned unreadable,
-    another VM took that for an engine without owner and claimed it beside the first.
+    A VM owned an engine and continued to order it. Its owner object became unreadable,
+    and another VM took the engine for unowned and claimed it as well.
     """
     for spec in SCRAMBLED:
         fleet = await two_with_leases()
@@ -87,10 +87,10 @@
 
 
 async def test_an_engine_whose_owner_object_is_unreadable_gets_an_owner():
-    """An engine gets no orders for good, since nobody can tell who owns it.
+    """An engine permanently gets no orders because its owner is unknown.
 
-    Its owner object turned unreadable. The owner lives and is reached, or its VM is
-    gone and its lease runs out; either way a successor must come to own the engine.
+    Its owner object became unreadable. The owner is reachable, or its VM is gone and
+    its lease expires; in both cases a successor must be able to claim the engine.
     """
     fleet = await two_with_leases()
     assert await fleet.a.ownerships.claim("e1")
@@ -106,11 +106,11 @@
 
 
 async def test_a_vm_suspended_while_it_reads_a_lease_takes_nothing_over():
-    """Two VMs order one engine under leases that both hold.
+    """Two VMs order one engine under two valid leases.
 
-    An owner was cut from the store for ten seconds. A VM that wanted to succeed it read
-    its lease and was suspended before it looked at its clock. By then the lease that
-    it had read was old enough to have run out; the owner had renewed it meanwhile.
+    An owner was cut off from the store for ten seconds. A successor read its lease and
+    was suspended before reading the clock. By then the lease as read was old enough to
+    have expired, but the owner had renewed it meanwhile.
     """
     fleet = await two_with_leases()
     assert await fleet.a.ownerships.claim("e1")
@@ -129,10 +129,10 @@
 
 
 async def test_an_unreadable_lease_proves_no_restart():
-    """Two VMs order one engine under leases that both hold.
+    """Two VMs order one engine under two valid leases.
 
-    The owner's lease object turned unreadable; a successor took that for a restart of
-    the owner's process and for a lease that is free.
+    The owner's lease object became unreadable. A successor took that for a restart of
+    the owner's process and for a free lease.
     """
     for spec in (None, "scrambled", {}, {"incarnation": 7}):
         fleet = await two_with_leases()
@@ -142,8 +142,8 @@
         assert fleet.a.ownerships.current("e1") is not None
 
 
-async def test_a_lease_that_went_proves_nothing_yet():
-    """As before, with a lease object that another writer removed."""
+async def test_a_removed_lease_proves_nothing_yet():
+    """The same with a lease object that another writer removed."""
     fleet = await two_with_leases()
     assert await fleet.a.ownerships.claim("e1")
     await fleet.store.delete(LEASES_KIND, "a")
@@ -154,11 +154,11 @@
     assert fleet.a.ownerships.current("e1") is None
 
 
-async def test_owners_do_not_take_turns():
-    """An engine is ordered by two VMs in turn within seconds, as by two at once.
+async def test_owners_do_not_alternate():
+    """Two VMs order an engine alternately within seconds, which counts as two owners.
 
-    VMs leave and come back one after the other: an engine's owner gave it back, its
-    successor left too within a second, and the first one, back by then, claimed again.
+    VMs restart one after the other. An engine's owner released it, its successor also
+    left within a second, and the first VM, back by then, claimed it again.
     """
     fleet = await two_with_leases()
     assert await fleet.a.ownerships.claim("e1")
@@ -172,8 +172,8 @@
     assert await fleet.a.ownerships.claim("e1")
 
 
-async def test_owners_do_not_take_turns_over_a_restart():
-    """The same, where the successor is killed: its next process gives nothing back."""
+async def test_owners_do_not_alternate_across_a_restart():
+    """The same with a killed successor: its next process releases nothing."""
     fleet = await two_with_leases()
     assert await fleet.a.ownerships.claim("e1")
     fleet.a.ownerships.record_order("e1")
@@ -189,7 +189,7 @@
 
 
 async def test_a_process_that_starts_knows_that_its_vm_ordered_a_moment_ago():
-    """The same, where the first owner is killed: its next process remembers nothing."""
+    """The same with a killed first owner: its next process remembers nothing."""
     fleet = await two_with_leases()
     assert await fleet.a.ownerships.claim("e1")
     await fleet.a.ownerships.release("e1")
@@ -203,7 +203,7 @@
 
 
 async def test_a_former_owner_waits_also_after_an_unreadable_object():
-    """The same, where what the object told of former owners was lost in between."""
+    """The same when the former owners in the object were lost in between."""
     fleet = await two_with_leases()
     assert await fleet.a.ownerships.claim("e1")
     fleet.a.ownerships.record_order("e1")
@@ -226,11 +226,11 @@
 
 
 async def test_a_claim_in_flight_does_not_outlive_a_yield():
-    """Two VMs order one engine, each by a claim of its own.
+    """Two VMs order one engine, each by its own claim.
 
-    A claim had reached the store and its answer was slow; then another writer made the
-    object unreadable. Asked whether it orders the engine, the claimant said no, since
-    it had no answer yet, and went on as its owner when the answer came.
+    A claim had reached the store and its answer was slow. Then another writer made the
+    object unreadable. The claimant was asked to yield and agreed, since it had no
+    answer yet, but acted as owner when the answer arrived.
     """
     fleet = await two_with_leases()
     replace = fleet.store.replace
@@ -253,11 +253,11 @@
     assert fleet.a.ownerships.current("e1") is None
 
 
-async def test_a_claim_answered_while_its_vm_leaves_is_given_back():
-    """An engine gets no orders for 15 s after a VM has left in good order.
+async def test_a_claim_answered_while_its_vm_leaves_is_released():
+    """An engine gets no orders for 15 s after a VM has shut down gracefully.
 
-    The VM gave back what it owned as it left. The answer to a claim of its came after
-    that, and the engine stayed claimed until the lease of the VM ran out.
+    The VM released what it owned. The answer to one of its claims arrived after that,
+    and the engine stayed claimed until the VM's lease expired.
     """
     fleet = await two_with_leases()
     replace = fleet.store.replace
@@ -274,8 +274,8 @@
     assert await fleet.b.ownerships.claim("e1")
 
 
-async def test_a_vm_whose_lease_object_went_is_asked_too():
-    """Two VMs order one engine: both its owner's lease and its object were spoilt."""
+async def test_a_vm_whose_lease_object_was_removed_is_asked_too():
+    """Two VMs order one engine: its owner's lease and its object were corrupted."""
     fleet = await two_with_leases()
     assert await fleet.a.ownerships.claim("e1")
     await fleet.store.delete(LEASES_KIND, "a")
@@ -285,7 +285,7 @@
 
 
 async def test_vms_that_are_gone_are_waited_for_at_once():
-    """An engine gets no orders for a minute, a lease for each VM that is gone."""
+    """An engine gets no orders for a minute: a lease time for each VM that is gone."""
     fleet = await two_with_leases()
     third = fleet.start("c")
     await third.lease._renew()
@@ -299,10 +299,10 @@
 
 
 async def test_the_last_order_is_sent_well_before_the_lease_ends():
-    """Two orders of two VMs cross, the older owner's arriving last.
+    """The orders of two VMs cross, and the older owner's order arrives last.
 
-    An owner that was cut from the store sent an order in the last moment of its lease.
-    A packet was lost and sent again a second later, after its successor's first order.
+    An owner cut off from the store sent an order at the very end of its lease. Its
+    packet was lost and retransmitted a second later, after the successor's first order.
     """
     fleet = await two_with_leases()
     assert await fleet.a.ownerships.claim("e1")
--- a/hawthornlead/tests/test_placements.py
+++ b/hawthornlead/tests/test_placements.py
@@ -42,10 +42,10 @@
 
 
 def test_spread_takes_the_slot_that_costs_least():
-    """A one-off request must not push out a hot adapter.
+    """A single request must not evict a hot adapter.
 
-    Its rendezvous choices all hold something; the one with the coldest idle
-    resident is taken, and one whose slots all run is the last resort.
+    All its rendezvous choices are full. The one with the coldest idle resident is
+    chosen, and one whose slots are all in use comes last.
     """
     popularity = POPULARITIES["decayed"](settings=default_settings())
     for second in range(100):
@@ -67,7 +67,7 @@
     assert choose("spread", views, CHOICES=2)[:2] == [order[1], order[0]]
 
 
-def test_spare_copies_follow_the_rate():
+def test_hot_copies_follow_the_rate():
     settings = default_settings(COPY_RATE=1.0, SLOW_HALF_LIFE_S=10.0)
     popularity = POPULARITIES["decayed"](settings=settings)
     placement = PLACEMENTS["spread"](settings=settings)
--- a/hawthornlead/tests/test_placers.py
+++ b/hawthornlead/tests/test_placers.py
@@ -1,4 +1,4 @@
-"""Tests of placing requests where engines are full."""
+"""Tests of placing requests when engines are full or at their limits."""
 
 import pytest
 from prometheus_client import CollectorRegistry
@@ -43,7 +43,7 @@
 
 
 class FakeTargets:
-    """Engines that hold nothing, and whose owners can be asked."""
+    """Engines that hold nothing, with owners that answer."""
 
     def __init__(self, count):
         self.entries = {}
@@ -95,7 +95,7 @@
 
 
 class Unlimited:
-    """Targets that name no limit, and ask for no rest."""
+    """Targets that set no limit and ask for no backoff."""
 
     def is_limited(self, target):
         return False
@@ -108,7 +108,7 @@
 
 
 class FakeMesh:
-    """Owners that say how long a slot is to be waited for."""
+    """Owners whose engines have a free slot after the times in ``waits``."""
 
     vm = "vm-1"
 
@@ -148,7 +148,7 @@
 
 
 class Site:
-    """A placer before engines whose slots come free after ``waits``."""
+    """A placer with engines whose slots become free after ``waits``."""
 
     def __init__(self, waits, limits=None):
         self.mesh = FakeMesh({f"e{number}": wait for number, wait in enumerate(waits)})
@@ -169,14 +169,14 @@
 
     async def place(self):
         now = self.timers.now()
-        wanted = PlacementRequest(ROUTE, "llm", REQUEST, now, now + 4.0, frozenset())
-        return await self.placer.place(wanted)
+        request = PlacementRequest(ROUTE, "llm", REQUEST, now, now + 4.0, frozenset())
+        return await self.placer.place(request)
 
 
 async def test_one_free_slot_among_many_full_engines_is_found():
-    """A caller is refused though an engine has a free slot.
+    """A caller is refused although an engine has a free slot.
 
-    Three engines were asked, all were full, and the other six were not.
+    Three engines were asked and were full; the other six were not asked.
     """
     site = Site([0.9] * 8 + [0.0])
     placed = await site.place()
@@ -190,7 +190,7 @@
     assert site.mesh.asked[-1].slot_wait_s > 0.2
 
 
-async def test_who_cannot_begin_in_time_is_told_so_without_a_wait():
+async def test_a_request_that_cannot_start_in_time_is_refused_without_a_wait():
     site = Site([2.0, 0.9, 3.0])
     refused = (await site.place()).unwrap_err()
     assert refused.kind is ErrorKind.NO_SLOT
@@ -198,7 +198,7 @@
     assert {message.slot_wait_s for message in site.mesh.asked} == {0.0}
 
 
-async def test_a_caller_is_not_called_back_to_the_same_full_engines():
+async def test_a_caller_is_not_told_to_retry_while_the_engines_are_still_full():
     site = Site([0.6, 0.6])
     refused = (await site.place()).unwrap_err()
     assert refused.retry_after_s >= MIN_FULL_RETRY_S
@@ -208,7 +208,7 @@
 async def test_in_a_large_fleet_not_all_are_asked_and_the_request_still_waits(count):
     """With 70 engines a request is refused that could have waited 0.5 s.
 
-    It gave up after a dozen full engines, before it asked to wait at any.
+    It stopped after a dozen full engines, before it asked to wait at any.
     """
     site = Site([0.5] * count)
     placed = await site.place()
@@ -232,7 +232,7 @@
     assert site.mesh.asked == []
 
 
-async def test_a_request_that_finds_no_slot_leaves_its_part_of_the_limit():
+async def test_a_request_that_finds_no_slot_is_refunded_to_the_limit():
     limits = FakeLimits({"e0": 0.0})
     assert (await Site([9.0], limits).place()).is_err()
     assert limits.taken == []
--- a/hawthornlead/tests/test_popularities.py
+++ b/hawthornlead/tests/test_popularities.py
@@ -27,10 +27,10 @@
     )
 
 
-def test_a_one_off_does_not_look_hot():
-    """A hot adapter, asked for every 20 s, has just been idle for 20 s.
+def test_a_single_request_does_not_look_hot():
+    """A hot adapter, requested every 20 s, has just been idle for 20 s.
 
-    A one-off request a moment ago must count less, a burst of four more.
+    A single request a moment ago must count less, a burst of four must count more.
     """
     counters = make_counters()
     for second in range(0, 600, 20):
@@ -56,11 +56,11 @@
     assert counters.seen_at("none") == -math.inf
 
 
-def test_idle_adapters_are_forgotten():
-    """Memory grows without end when every adapter ever asked for is kept.
+def test_idle_adapters_are_expired():
+    """Memory grows without bound if every adapter ever requested is kept.
 
-    A fleet's adapters come and go for weeks; counters that have decayed to
-    nothing must go too, while the busy ones stay.
+    Adapters come and go for weeks. Fully decayed counters must be removed, and busy
+    ones kept.
     """
     counters = make_counters()
     for number in range(3 * EXPIRE_INTERVAL):
--- a/hawthornlead/tests/test_quotas.py
+++ b/hawthornlead/tests/test_quotas.py
@@ -1,4 +1,4 @@
-"""Tests of quotas over many VMs: what is let through, under load and with VMs cut."""
+"""Tests of quotas over many VMs: what is admitted, also when VMs are disconnected."""
 
 from random import Random
 
@@ -18,20 +18,20 @@
 from .gateways import Deployment
 from .test_workspaces import KEY, OTHER_KEY, keyed, put_in_force, tenant
 
-# What a limit may be passed by in a window: a tenth, and tokens beside.
+# A limit may be exceeded in a window by a tenth plus a number of tokens.
 OVERAGE, SLACK_TOKENS, WINDOW_S = 0.1, 17000, 8
 RATES = (4200.0, 30000.0, 93000.0)
 SEEDS = (11, 12, 13, 14, 15)
-# Credit that is refused within the limit, as a part of what one bucket lets through.
-MOST_UNUSED = 0.02
+# Credit refused within the limit, as a share of what a single bucket admits.
+MAX_UNUSED = 0.02
 
 
 @pytest.mark.parametrize("rate", RATES)
 @pytest.mark.parametrize("load", LOADS)
-def test_no_load_passes_the_limit_by_more_than_is_allowed(load, rate):
-    """A workspace sends many times its usual and takes what others need.
+def test_no_load_exceeds_the_limit_by_more_than_is_allowed(load, rate):
+    """A workspace sends many times its usual load and takes what others need.
 
-    VMs are cut off or restarted meanwhile, and know late what the others let through.
+    Meanwhile VMs are disconnected or restarted, and learn late what others admitted.
     """
     demand = QuotaDemand(rate=rate)
     allowed = 1 + OVERAGE + SLACK_TOKENS / (rate * (WINDOW_S + 1))
@@ -41,15 +41,15 @@
 
 @pytest.mark.parametrize("rate", RATES[1:])
 @pytest.mark.parametrize("load", ["usual", "one VM", "moving"])
-def test_what_is_within_the_limit_is_let_through(load, rate):
-    """A customer is refused below its limit, since its credit lies at other VMs."""
+def test_what_is_within_the_limit_is_admitted(load, rate):
+    """A customer is refused below its limit because its credit lies at other VMs."""
     demand = QuotaDemand(rate=rate)
     unused = [play_quota("told", demand, load, seed).unused for seed in SEEDS]
-    assert sum(unused) / len(unused) < MOST_UNUSED
+    assert sum(unused) / len(unused) < MAX_UNUSED
 
 
 class OneLedger:
-    """A ledger whose clock, and what it hears, are set by hand."""
+    """A ledger whose clock and received state are set by the test."""
 
     def __init__(self, rate=100.0, burst=100.0):
         self.at = 50.0
@@ -64,11 +64,11 @@
         self.ledger.mark_counting_locally()
 
     def admitted(self, count, cost=10.0, name="zimi") -> int:
-        """Ask at one moment and return how many were let through."""
+        """Request at one moment, and return how many were admitted."""
         return sum(self.ledger.admit(name, cost).is_ok() for _ in range(count))
 
     def idle(self, seconds) -> None:
-        """Let time pass in which nothing is asked."""
+        """Let time pass without requests."""
         self.at += seconds
         self.ledger.mark_counting_locally()
 
@@ -77,13 +77,13 @@
     assert OneLedger().admitted(1000, name="dati") == 1000
 
 
-def test_a_request_that_costs_nothing_is_let_through():
-    """A request that declares no tokens at all ends without an answer."""
+def test_a_request_that_costs_nothing_is_admitted():
+    """A request that declares no tokens ends without an answer."""
     one = OneLedger()
     assert one.admitted(3, cost=0.0) == 3
 
 
-def test_burst_is_let_through_and_what_follows_waits_for_its_credit():
+def test_a_burst_is_admitted_and_what_follows_waits_for_its_credit():
     one = OneLedger()
     one.idle(5.0)
     assert 7 <= one.admitted(100) <= 17
@@ -93,7 +93,7 @@
     assert "zimi is over its limit of 100" in refusal.detail
 
 
-def test_what_others_let_through_is_paid_back_first():
+def test_what_others_admitted_is_repaid_first():
     one = OneLedger()
     one.idle(5.0)
     one.ledger.apply_uses((QuotaUse("zimi", 500.0, 500.0), QuotaUse("gone", 1.0, 1.0)))
@@ -102,7 +102,7 @@
     assert one.admitted(5) == 5
 
 
-def test_what_was_let_through_and_never_ran_is_given_back():
+def test_what_was_admitted_and_never_ran_is_refunded():
     one = OneLedger()
     one.idle(5.0)
     (before,) = one.ledger.states()
@@ -125,15 +125,15 @@
     assert one.admitted(50) == 50
 
 
-def test_a_head_is_believed_but_for_what_it_wasnt_told():
+def test_a_heads_state_is_applied_except_for_unreported_use():
     one = OneLedger()
     one.ledger.admit("zimi", 30.0)
     one.ledger.apply_states((QuotaState("zimi", 70.0, 12.0),), 0.5)
     assert one.ledger.states()[0].credit == 40.0
 
 
-def test_a_vm_that_was_frozen_has_only_its_part_until_it_hears_again():
-    """A VM that wakes spends credit which the others spent while it stood still."""
+def test_a_vm_that_was_frozen_uses_only_its_share_until_it_is_updated():
+    """A VM that resumes spends credit that the others used while it was frozen."""
     one = OneLedger()
     one.idle(5.0)
     one.at += STATE_TTL_S + 8.0
@@ -143,7 +143,7 @@
     assert one.admitted(5) == 5
 
 
-def test_vms_that_are_parted_have_their_part_of_the_rate():
+def test_vms_in_a_partition_use_their_share_of_the_rate():
     one = OneLedger()
     one.idle(5.0)
     one.ledger.apply_uses((QuotaUse("zimi", 100.0, 100.0),))
@@ -153,7 +153,7 @@
     assert one.ledger.states()[0].credit == before + 50.0
 
 
-async def test_all_vms_of_a_large_fleet_count_what_one_lets_through():
+async def test_all_vms_of_a_large_fleet_count_what_one_admits():
     fleet = FakeFleet({"gijon": 14, "bilbao": 14, "santander": 12})
     await fleet.settle()
     for vm in fleet.vms.values():
@@ -168,7 +168,7 @@
     fleet.stop()
 
 
-async def test_a_workspace_over_its_limit_is_told_when_to_come_back():
+async def test_a_workspace_over_its_limit_gets_a_retry_time():
     async with Deployment(vms=2) as deployment:
         tenants = [tenant("zimi", KEY, ratePerS=1), tenant("dati", OTHER_KEY)]
         await put_in_force(deployment, keyed(2, *tenants))
--- a/hawthornlead/tests/test_retries.py
+++ b/hawthornlead/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Retry budget and backoff."""
+"""Tests of the retry budget and the backoff."""
 
 import asyncio
 import random
@@ -25,8 +25,8 @@
 async def test_a_failing_target_does_not_multiply_load(retries, timers):
     """Every request fails for half a minute under load.
 
-    Without a budget each would be sent three times, and the targets that are left
-    would fail as well. With it, attempts stay within a tenth above the requests.
+    Without a budget each would be sent three times, and the remaining targets would
+    fail too. With the budget, attempts exceed requests by at most a tenth.
     """
     sent = 0
     for _ in range(30 * 50):
--- a/hawthornlead/tests/test_routers.py
+++ b/hawthornlead/tests/test_routers.py
@@ -44,7 +44,7 @@
     assert choose("affinity", views)[0] == Candidate("t2", True)
 
 
-def test_affinity_joins_a_load_that_is_under_way():
+def test_affinity_joins_a_load_in_progress():
     views = [make_view("t1"), make_view("t2", Resident("tides", "1", 0, True))]
     assert choose("affinity", views)[0] == Candidate("t2", False)
 
@@ -55,10 +55,10 @@
 
 
 def test_affinity_leaves_an_overloaded_copy_for_last():
-    """One adapter turns hot and its only copy drowns while others idle.
+    """One adapter becomes hot and overloads its only copy while other targets idle.
 
-    Requests follow the resident copy; beyond the bound they must spill over to
-    a new copy elsewhere.
+    Requests go to the resident copy; beyond the bound they must go to a new copy on
+    another target.
     """
     views = [make_view("t1"), make_view("t2", "tides", running=40), make_view("t3")]
     order = choose("affinity", views, TARGET_FULL=16, LOAD_BOUND=1.5)
@@ -66,7 +66,7 @@
     assert len(order) == 3
 
 
-def test_batch_weight_turns_the_preference():
+def test_batch_weight_reverses_the_preference():
     views = [
         make_view("t1", "tides", running=2),
         make_view("t2", "tides", running=8),
--- a/hawthornlead/tests/test_slot_loads.py
+++ b/hawthornlead/tests/test_slot_loads.py
@@ -1,14 +1,15 @@
-"""What callers get of an engine with five slots on a busy minute."""
+"""Tests of the outcomes of requests to an engine with five slots in a busy minute."""
 
 import pytest
 
 from .slot_loads import Policy, SlotLoad
 
 SEEDS = (1, 2, 3, 4, 5)
-# Ends of requests were known by the VMs' next words and then 0.39 s later.
-BEFORE = Policy(end_known_after_s=0.5, waits=False)
-ENDS_TOLD = Policy(end_known_after_s=0.005, waits=False)
-NOW = Policy(end_known_after_s=0.005, waits=True)
+# Without end notices, ends of requests are known from the VMs' next announcements, and
+# 0.39 s later.
+WITHOUT_NOTICES = Policy(end_known_after_s=0.5, waits=False)
+WITH_END_NOTICES = Policy(end_known_after_s=0.005, waits=False)
+WITH_NOTICES_AND_QUEUE = Policy(end_known_after_s=0.005, waits=True)
 
 
 def played(policy, per_s=6.0):
@@ -19,25 +20,30 @@
     return sum(values) / len(values)
 
 
-def test_callers_are_served_better_since_ends_are_told_and_slots_waited_for():
-    """Callers are refused while adapters that nobody uses keep their slots.
+def test_end_notices_and_waiting_for_slots_serve_callers_better():
+    """Callers are refused while unused adapters keep their slots.
 
-    Of 6 requests a second over five seeds, begun in time: 0.738 before, 0.879 with ends
-    told, 0.951 with slots waited for as well. Refused: 0.259, 0.119, 0.045.
+    At 6 requests a second over five seeds, the share started in time is 0.738 without
+    end notices, 0.879 with them, and 0.951 with waiting for slots as well. The share
+    refused is 0.259, 0.119 and 0.045.
     """
-    before, told, now = played(BEFORE), played(ENDS_TOLD), played(NOW)
-    for first, second in ((before, told), (told, now)):
+    without, with_notices, with_queue = (
+        played(WITHOUT_NOTICES),
+        played(WITH_END_NOTICES),
+        played(WITH_NOTICES_AND_QUEUE),
+    )
+    for first, second in ((without, with_notices), (with_notices, with_queue)):
         for one, other in zip(first, second, strict=True):
             assert other.share_in_time > one.share_in_time
             assert other.share_refused < one.share_refused
-    assert mean([outcome.share_in_time for outcome in now]) > 0.94
-    assert mean([outcome.share_refused for outcome in now]) < 0.06
+    assert mean([outcome.share_in_time for outcome in with_queue]) > 0.94
+    assert mean([outcome.share_refused for outcome in with_queue]) < 0.06
 
 
 @pytest.mark.parametrize("per_s", [6.0, 9.0])
 def test_the_more_urgent_route_is_refused_less_often(per_s):
-    """The most urgent callers are served worst, as nothing of ours looked at rank."""
-    for outcome in played(NOW, per_s):
-        urgent = outcome.refused[0] / outcome.asked[0]
-        other = outcome.refused[1] / outcome.asked[1]
+    """The most urgent callers are served worst because rank was ignored."""
+    for outcome in played(WITH_NOTICES_AND_QUEUE, per_s):
+        urgent = outcome.refused[0] / outcome.requested[0]
+        other = outcome.refused[1] / outcome.requested[1]
         assert urgent < other / 2
--- a/hawthornlead/tests/test_slot_queues.py
+++ b/hawthornlead/tests/test_slot_queues.py
@@ -1,4 +1,4 @@
-"""Tests of who gets the next slot of an engine."""
+"""Tests of the order in which requests get slots of an engine."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -7,7 +7,7 @@
 from hawthornlead.gateway.slot_queues import INITIAL_INTERVAL_S, SlotQueue, SlotRequest
 
 
-def wanted(name, rank=1, due_at=10.0, until=10.0):
+def slot_request(name, rank=1, due_at=10.0, until=10.0):
     return SlotRequest(AdapterKey("tide", name), rank, due_at, until)
 
 
@@ -27,51 +27,51 @@
 def test_the_more_urgent_route_is_served_first():
     """The most urgent callers are refused most often.
 
-    Their prompts were placed like any other, so that the few slots that came free went
+    Their requests were treated like any other, so the few slots that became free went
     to whoever asked at the right moment.
     """
     queue = SlotQueue()
-    queue.add(wanted("note", rank=1, due_at=5.0))
-    queue.add(wanted("guide", rank=0, due_at=6.0))
-    queue.add(wanted("early-note", rank=1, due_at=4.0))
+    queue.add(slot_request("note", rank=1, due_at=5.0))
+    queue.add(slot_request("guide", rank=0, due_at=6.0))
+    queue.add(slot_request("early-note", rank=1, due_at=4.0))
     assert served(queue, now=1.0) == ["guide", "early-note", "note"]
 
 
-def test_who_is_late_anyway_lets_those_in_time_go_first():
-    """Everybody is late, though there are slots for most.
+def test_requests_in_time_come_before_late_ones():
+    """All requests are late, although there are slots for most.
 
-    Served in the order of arrival, those whose objective has passed took the slots of
-    those that came after them, which were then late as well.
+    In order of arrival, requests whose objective had passed took the slots of later
+    requests, which were then late as well.
     """
     queue = SlotQueue()
-    queue.add(wanted("late", rank=0, due_at=1.0))
-    queue.add(wanted("in-time", rank=1, due_at=3.0))
+    queue.add(slot_request("late", rank=0, due_at=1.0))
+    queue.add(slot_request("in-time", rank=1, due_at=3.0))
     assert served(queue, now=2.0) == ["in-time", "late"]
 
 
 def test_requests_for_one_adapter_count_once():
     queue = SlotQueue()
     for _ in range(3):
-        queue.add(wanted("a1", due_at=4.0))
-    assert queue.expected_wait(wanted("a2"), now=1.0) == 2 * INITIAL_INTERVAL_S
-    assert queue.expected_wait(wanted("a1"), now=1.0) == INITIAL_INTERVAL_S
+        queue.add(slot_request("a1", due_at=4.0))
+    assert queue.expected_wait(slot_request("a2"), now=1.0) == 2 * INITIAL_INTERVAL_S
+    assert queue.expected_wait(slot_request("a1"), now=1.0) == INITIAL_INTERVAL_S
 
 
-def test_the_expected_wait_follows_the_pace_at_which_slots_come_free():
+def test_the_expected_wait_follows_the_rate_of_free_slots():
     queue = SlotQueue()
     for taken in range(20):
         queue.record_taken(taken / 10)
-    assert queue.expected_wait(wanted("a1"), now=1.95) == 0.1
+    assert queue.expected_wait(slot_request("a1"), now=1.95) == 0.1
     slow = SlotQueue()
     slow.record_taken(0.0)
-    assert slow.expected_wait(wanted("a1"), now=1.0) > INITIAL_INTERVAL_S
+    assert slow.expected_wait(slot_request("a1"), now=1.0) > INITIAL_INTERVAL_S
 
 
 @given(st.lists(st.tuples(st.integers(0, 2), st.floats(0, 9)), max_size=12))
-def test_an_empty_queue_is_left_and_each_request_is_next_once(requests):
+def test_each_request_is_next_once_and_an_empty_queue_remains(requests):
     queue = SlotQueue()
     for number, (rank, due_at) in enumerate(requests):
-        queue.add(wanted(f"a{number}", rank, due_at))
+        queue.add(slot_request(f"a{number}", rank, due_at))
     names = served(queue, now=5.0)
     assert len(names) == len(requests) == len(set(names))
     assert len(queue) == 0
--- a/hawthornlead/tests/test_suspects.py
+++ b/hawthornlead/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""Requests that crash their target are found, bounded and told apart."""
+"""Tests of finding and quarantining requests that crash their target."""
 
 import pytest
 
@@ -35,9 +35,9 @@
 async def test_a_request_that_crashes_targets_is_refused_after_two(suspects):
     """A caller sends a request that crashes its target, and sends it again.
 
-    The first death makes all requests there suspects. An innocent one completes
-    elsewhere and is cleared. The second death leaves only the guilty one with two,
-    which is refused from then on; the innocent one is served.
+    The first death makes all requests on the target suspects. An innocent one completes
+    elsewhere and is cleared. After the second death only the crashing request has two
+    deaths. It is refused from then on, and the innocent one is served.
     """
     suspects.record_death("engine-1", "boot-1", [BAD, GOOD])
     assert suspects.check(BAD).is_ok()
@@ -50,11 +50,11 @@
     assert suspects.check(OTHER).is_ok()
 
 
-async def test_one_death_told_by_several_vms_counts_once(suspects):
-    """Three VMs had requests on a target that died, and each reports it.
+async def test_one_death_reported_by_several_vms_counts_once(suspects):
+    """Three VMs had requests on a target that died, and each reports the death.
 
-    The same fingerprint comes in two of the reports; counted twice, one death
-    would convict an innocent request.
+    The same fingerprint is in several reports. If one death counted twice, an innocent
+    request would be quarantined.
     """
     for _ in range(3):
         suspects.record_death("engine-1", "boot-1", [GOOD])
@@ -63,14 +63,14 @@
     assert suspects.check(GOOD).is_err()
 
 
-async def test_a_report_that_comes_after_the_clearing_accuses_nobody(suspects):
+async def test_a_report_after_the_clearing_makes_no_suspect(suspects):
     suspects.record_death("engine-1", "boot-1", [GOOD])
     suspects.record_completion(GOOD)
     suspects.record_death("engine-1", "boot-1", [GOOD])
     assert not suspects.is_suspect(GOOD)
 
 
-async def test_deaths_without_a_boot_id_are_told_apart_by_time(suspects, timers):
+async def test_deaths_without_a_boot_id_are_distinguished_by_time(suspects, timers):
     suspects.record_death("engine-1", "", [BAD])
     await timers.advance(1)
     suspects.record_death("engine-1", "", [BAD])
@@ -83,7 +83,7 @@
 async def test_suspects_do_not_run_beside_one_another(suspects):
     """Two suspects run on one target, which dies.
 
-    Neither could be told from the other, so a suspect joins only innocents.
+    The crashing one could not be identified, so a suspect joins only non-suspects.
     """
     suspects.record_death("engine-1", "boot-1", [BAD, GOOD])
     assert suspects.may_join(BAD, [OTHER])
--- a/hawthornlead/tests/test_unacknowledged_orders.py
+++ b/hawthornlead/tests/test_unacknowledged_orders.py
@@ -1,4 +1,4 @@
-"""Tests of engines that start again while orders to their former start may come."""
+"""Tests of restarted engines while orders to a former incarnation may arrive."""
 
 import asyncio
 
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 async def bed(monkeypatch):
-    """An owner that has read the report of an engine that tells its start."""
+    """An owner that has read the report of an engine that reports its start time."""
     shorten_waits(monkeypatch)
     made = Bed()
     made.engine.started_ms = 1000
@@ -32,7 +32,7 @@
 
 
 async def fill(bed, prefix, count):
-    """Load so many adapters, one after the other."""
+    """Load ``count`` adapters, one after the other."""
     for number in range(count):
         loaded = await bed.load(f"{prefix}{number}")
         while loaded.is_err():
@@ -40,11 +40,11 @@
             loaded = await bed.load(f"{prefix}{number}")
 
 
-async def test_a_late_load_of_the_former_start_fits_whenever_it_comes(bed):
-    """An engine breaks down of one adapter too many, seconds after it started again.
+async def test_a_late_load_of_the_former_incarnation_always_fits(bed):
+    """A load beyond the slots crashes an engine seconds after its restart.
 
-    A load got no answer; the engine started again and its slots were filled. Then the
-    load was carried out, since it named a count that was right once more.
+    A load got no answer, the engine restarted, and its slots were filled. Then the load
+    was carried out, because it named a count that was valid again.
     """
     bed.engine.late = 1
     assert (await bed.load("late", version=1)).is_ok()
@@ -58,12 +58,12 @@
     assert bed.engine.most <= SLOTS
 
 
-async def test_a_late_load_of_an_older_version_is_noticed(bed):
+async def test_a_late_load_of_an_older_version_is_detected(bed):
     """Requests run on a version of their adapter that was replaced seconds ago.
 
-    A load that named the version before got no answer. The engine started again and
-    loaded the newer version, and then carried out the old order: it was believed to
-    hold the newer one still.
+    A load of the older version got no answer. The engine restarted, loaded the newer
+    version, and then carried out the old order. Its owner still took it to hold the
+    newer one.
     """
     bed.engine.late = 1
     assert (await bed.load("a1", version=1)).is_ok()
@@ -78,7 +78,7 @@
     assert bed.engine.held["a1"] == 2
 
 
-async def test_a_late_unload_is_noticed(bed):
+async def test_a_late_unload_is_detected(bed):
     assert (await bed.load("a1")).is_ok()
     bed.engine.late = 1
     assert (await bed.load("a2")).is_ok()
@@ -91,7 +91,7 @@
 
 
 async def test_without_an_unanswered_order_all_slots_are_used(bed):
-    """An engine that started again keeps a slot empty for nothing."""
+    """A restarted engine keeps a slot empty without need."""
     await fill(bed, "a", SLOTS)
     await bed.restart()
     await fill(bed, "b", SLOTS)
@@ -99,8 +99,8 @@
     assert len(bed.engine.held) == SLOTS
 
 
-async def test_an_order_under_way_as_its_owner_ends_counts_as_unanswered(bed):
-    """The order that was being sent as the restart was seen is forgotten."""
+async def test_an_order_in_flight_as_its_owner_stops_counts_as_unanswered(bed):
+    """The order in flight when a restart was seen is not counted as unanswered."""
     reached = asyncio.Event()
 
     async def never(address, target, order, allowed):
@@ -116,7 +116,7 @@
     assert bed.owner.unanswered_until > bed.timers.now() + MAX_ORDER_DELAY_S - 1
 
 
-async def test_a_report_of_a_later_start_ends_what_is_believed(bed):
+async def test_a_report_of_a_later_incarnation_reveals_a_restart(bed):
     assert (await bed.load("a1")).is_ok()
     bed.engine.restart()
     bed.owner.on_adapter_missing(KEY)
@@ -124,10 +124,10 @@
     assert set(bed.restarts) == {bed.engine.started_ms}
 
 
-async def test_a_report_of_the_former_start_is_not_heeded(bed):
-    """An engine is believed to hold what it held before it started again.
+async def test_a_report_of_the_former_incarnation_is_ignored(bed):
+    """An engine is taken to hold what it held before its restart.
 
-    Its report lags, and still was that of the former start.
+    Its report lagged, and was still that of the former incarnation.
     """
     assert (await bed.load("a1")).is_ok()
     before = await bed.engine.report("", "e1")
@@ -146,8 +146,8 @@
 
 
 @pytest.fixture
-async def untold(monkeypatch):
-    """An owner whose engine tells no start."""
+async def bed_without_start_times(monkeypatch):
+    """An owner whose engine reports no start time."""
     shorten_waits(monkeypatch)
     made = Bed()
     await made.start()
@@ -155,40 +155,42 @@
     made.owner.stop()
 
 
-async def test_a_count_gone_back_tells_of_a_restart_where_starts_are_not_told(
-    untold, monkeypatch
+async def test_a_lower_count_reveals_a_restart_if_start_times_are_not_reported(
+    bed_without_start_times, monkeypatch
 ):
-    """All loads of an engine are refused for good, or go by what it no longer holds."""
+    """All loads of an engine are refused permanently, or use its outdated holdings."""
     monkeypatch.setattr(engine_reports, "MAX_REPORT_DELAY_S", 0.1)
-    await fill(untold, "a", 3)
-    untold.engine.restart()
-    untold.owner.on_adapter_missing(AdapterKey("tide", "a1"))
-    await untold.until(lambda: untold.restarts)
-    assert set(untold.restarts) == {None}
+    await fill(bed_without_start_times, "a", 3)
+    bed_without_start_times.engine.restart()
+    bed_without_start_times.owner.on_adapter_missing(AdapterKey("tide", "a1"))
+    await bed_without_start_times.until(lambda: bed_without_start_times.restarts)
+    assert set(bed_without_start_times.restarts) == {None}
 
 
-async def test_a_report_older_than_the_last_order_is_no_restart(untold):
-    """The runs at a sound engine are given up, as if it had started again.
+async def test_a_report_older_than_the_last_order_is_no_restart(
+    bed_without_start_times,
+):
+    """The runs at a healthy engine are abandoned as if it had restarted.
 
     Its report lagged longer than usual and didn't show the last order yet.
     """
-    before = await untold.engine.report("", "e1")
-    await fill(untold, "a", 2)
-    fresh = untold.engine.report
-    untold.engine.report = lambda address, target: _answer(before)
-    untold.owner.on_adapter_missing(AdapterKey("tide", "a1"))
+    before = await bed_without_start_times.engine.report("", "e1")
+    await fill(bed_without_start_times, "a", 2)
+    fresh = bed_without_start_times.engine.report
+    bed_without_start_times.engine.report = lambda address, target: _answer(before)
+    bed_without_start_times.owner.on_adapter_missing(AdapterKey("tide", "a1"))
     await asyncio.sleep(0.2)
-    assert not untold.restarts
-    untold.engine.report = fresh
-    await untold.until(lambda: untold.owner.known)
-    assert untold.owner.slots.ready(AdapterKey("tide", "a1"), 0)
+    assert not bed_without_start_times.restarts
+    bed_without_start_times.engine.report = fresh
+    await bed_without_start_times.until(lambda: bed_without_start_times.owner.known)
+    assert bed_without_start_times.owner.slots.ready(AdapterKey("tide", "a1"), 0)
 
 
-def test_late_orders_are_expected_only_of_a_start_that_is_younger():
-    """Each claim of an engine costs two evictions, though none of its orders is late.
+def test_late_orders_may_arrive_only_at_a_younger_incarnation():
+    """Each claim of an engine costs two evictions, although no order is late.
 
-    Within one start the count excludes what comes late: a claim of an engine that has
-    run for longer than late orders take needs no slot to spare.
+    Within one incarnation the count excludes late orders. The claim of an engine that
+    has run longer than ``MAX_ORDER_DELAY_S`` needs no spare slot.
     """
     timers = ManualTimerService()
     timers._now = 100.0
@@ -197,13 +199,13 @@
     young = UnacknowledgedOrders(timers=timers, since=98.0, unanswered_until=until)
     answered = UnacknowledgedOrders(timers=timers, since=98.0)
     assert [each.spare_slots for each in (old, young, answered)] == [0, 1, 0]
-    # A restart that is seen next inherits what may still come of the claim.
+    # If the engine restarts next, orders from before the claim may still arrive.
     assert old.unanswered_until == until
     timers._now = 98.0 + MAX_ORDER_DELAY_S
     assert young.spare_slots == 0
 
 
-def test_an_answered_order_leaves_earlier_ones_expected():
+def test_an_answered_order_leaves_earlier_ones_unanswered():
     timers = ManualTimerService()
     timers._now = 100.0
     late = UnacknowledgedOrders(timers=timers)
--- a/hawthornlead/tests/test_views.py
+++ b/hawthornlead/tests/test_views.py
@@ -1,4 +1,4 @@
-"""Tests of what a VM knows of targets."""
+"""Tests of the views that a VM has of targets."""
 
 from hawthornlead.decisions.views import TargetViews
 from hawthornlead.messages import TargetState
@@ -34,11 +34,11 @@
     assert (second.owner_vm, second.state, second.base_models) == ("", None, ("base",))
 
 
-def test_late_message_of_superseded_owner_hides_nothing():
-    """A frozen owner wakes and tells what it believed.
+def test_late_message_of_superseded_owner_is_ignored():
+    """A frozen owner resumes and announces outdated state.
 
-    A router that believed it would send requests to an adapter that was evicted.
-    The successor told earlier, under a greater fence; that stays.
+    A router that used it would send requests to an evicted adapter. The successor
+    announced earlier under a greater fence, and its state must stay.
     """
     views = _views(FakeVmList(engine_entry("engine-1")))
     assert views.apply_state(_state(4, 1))
@@ -47,7 +47,7 @@
     assert not views.apply_state(_state(4, 0))
 
 
-def test_leaving_target_is_told_by_vm_list_or_owner():
+def test_leaving_target_is_known_from_vm_list_or_owner():
     vm_list = FakeVmList(engine_entry("engine-1", state="leaving"))
     views = _views(vm_list)
     assert views.view("engine-1").leaving
@@ -60,11 +60,11 @@
     assert views.view("engine-1") is None and views.views() == ()
 
 
-def test_a_state_builds_one_view_anew_and_not_all():
-    """With 610 targets, states came faster than all views could be rebuilt.
+def test_a_state_rebuilds_one_view_and_not_all():
+    """With 610 targets, states arrive faster than all views can be rebuilt.
 
-    Each state told made the next request build the views of all targets, which took
-    3 ms of an entry VM's loop, 46 times a second.
+    Each announced state made the next request rebuild the views of all targets, which
+    took 3 ms of an entry VM's event loop, 46 times a second.
     """
     entries = [engine_entry(f"engine-{number}") for number in range(1, 6)]
     views = _views(FakeVmList(*entries))
