--- a/hawthornlead/tests/test_change_spread.py
+++ b/hawthornlead/tests/test_change_spread.py
@@ -1,4 +1,4 @@
-"""Tests of how a change of the store reaches every VM of a fleet under faults."""
+"""Tests that changes of the store reach every VM of a fleet in time under faults."""
 
 import asyncio
 from random import Random
@@ -12,17 +12,17 @@
 
 SILENT_HEAD = "santander-0"
 EACH_LARGE = 9
-AGAIN_S = 6.0
+PAUSE_S = 6.0
 SEEDS = (0, 2, 3)
 EACH_SMALL = 3
 PLAY_S = 20.0
 
 
 async def change_behind_a_silent_head(seed: int, refused: bool) -> list[str]:
-    """Change the configuration while a head stands still, some times in turn.
+    """Change the configuration several times, each time while a head is frozen.
 
     Return the VMs that didn't have a change in force in time. If ``refused``, the
-    store serves none of the VMs that hear of the fleet from that head.
+    store serves none of the subscribers of that head.
     """
     fleet = PlayedFleet(dict.fromkeys(PLACES, EACH_LARGE), Random(seed))
     await fleet.start_all()
@@ -38,25 +38,25 @@
             if vm.version < version and name != SILENT_HEAD:
                 late.append(name)
         fleet.thaw(SILENT_HEAD)
-        await asyncio.sleep(AGAIN_S)
+        await asyncio.sleep(PAUSE_S)
     fleet.stop()
     return late
 
 
 def test_vms_behind_a_silent_head_have_changes_in_force_in_time():
-    """Guards against a VM that takes itself for told though it missed a change."""
+    """Guards against a VM that counts as up to date though it missed a change."""
     for seed in SEEDS:
         assert run_played(change_behind_a_silent_head(seed, refused=False)) == []
 
 
 def test_vms_that_the_store_turns_away_have_missed_changes_in_force_in_time():
-    """Guards against a VM that asks nobody but the store for a change that it lacks."""
+    """Guards against a VM that requests missing changes only from the store."""
     for seed in SEEDS:
         assert run_played(change_behind_a_silent_head(seed, refused=True)) == []
 
 
 async def change_behind_refused_relays(seed: int, refusal: Refusal) -> list[str]:
-    """Change the configuration as the store turns many VMs away, all heads among them.
+    """Change the configuration while the store refuses many VMs and all heads.
 
     Return the VMs that don't have it in force in time.
     """
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize("refusal", list(Refusal))
 def test_changes_are_in_force_in_time_though_the_store_turns_all_heads_away(refusal):
-    """Guards against VMs that hear of no change since only heads watch for others."""
+    """Guards against VMs that receive no change because only heads relay."""
     for seed in SEEDS:
         assert run_played(change_behind_refused_relays(seed, refusal)) == []
 
--- a/hawthornlead/tests/test_lost_histories.py
+++ b/hawthornlead/tests/test_lost_histories.py
@@ -1,4 +1,4 @@
-"""Tests of VMs that follow a store which keeps no history for a while."""
+"""Tests of VMs that watch a store which keeps no history for a while."""
 
 import asyncio
 
@@ -6,9 +6,9 @@
 
 from .following_vms import KINDS, NAMES, relayed_site
 
-# Long enough that a VM that is told nothing would have listed each kind by itself: the
-# word of a relay counts for 1.1 s.
-AWAY_S = 2.5
+# Long enough that a VM without relays would have listed each kind by itself: the
+# heartbeat of a relay expires after 1.1 s.
+WITHOUT_HISTORY_S = 2.5
 
 
 @pytest.fixture
@@ -19,7 +19,7 @@
 
 
 def count_calls(vm, counted):
-    """Count a VM's calls of the store from now on."""
+    """Record each further call of a VM to the store."""
     call = vm.client._call
 
     async def counting(*arguments, **named):
@@ -30,23 +30,23 @@
 
 
 async def test_only_relays_call_a_store_that_keeps_no_history(site):
-    """A store that is short of history is called hundreds of times a second.
+    """Guards against hundreds of calls a second to a store that is short of history.
 
-    Each watch ended at once. The two relays took that for a store that is away and
-    vouched for nothing, so that every VM listed each kind again and again.
+    Each watch ends at once there. If the two relays took that for an unavailable store
+    and confirmed no kind, every VM would list each kind again and again.
     """
     calls = []
-    told = [vm for vm in site.vms if not vm.relays.is_relay]
+    subscribers = [vm for vm in site.vms if not vm.relays.is_relay]
     for kind in KINDS:
         for name in NAMES:
             site.write_good(kind, name)
     await site.agree()
     site.store.keeps_history = False
     site.store.forget_history()
-    for vm in told:
+    for vm in subscribers:
         count_calls(vm, calls)
-    await asyncio.sleep(AWAY_S)
-    assert len(told) == 2
+    await asyncio.sleep(WITHOUT_HISTORY_S)
+    assert len(subscribers) == 2
     assert calls == []
     for kind in KINDS:
         site.write_good(kind, NAMES[0])
--- a/hawthornlead/tests/test_memberships.py
+++ b/hawthornlead/tests/test_memberships.py
@@ -1,4 +1,4 @@
-"""Tests of which VMs are heard, and which of them own targets, without a network."""
+"""Tests of which VMs are seen, and which of them own targets, without a network."""
 
 from random import Random
 
@@ -16,7 +16,7 @@
 
 
 class Fleet:
-    """VMs that all hear one another, as the first of them sees them."""
+    """VMs that are all connected with one another."""
 
     def __init__(self, vms, leaving=()):
         self.timers = ManualTimerService()
@@ -25,8 +25,8 @@
         meshes = {}
         for name in self.names:
             meshes[name] = network.join(name)
-            beat = Heartbeat(0, 0, name in leaving, 0, 1, 0.0)
-            meshes[name].heartbeat_source = lambda beat=beat: beat
+            heartbeat = Heartbeat(0, 0, name in leaving, 0, 1, 0.0)
+            meshes[name].heartbeat_source = lambda heartbeat=heartbeat: heartbeat
         self.registered_order = RegisteredOrder()
         self.memberships = [self._of(name, meshes[name]) for name in self.names]
 
@@ -42,14 +42,14 @@
         )
 
     def register(self, name, revision, place="gijon"):
-        """Let all VMs hear that one registered."""
+        """Apply the registration of a VM at all VMs."""
         record = VmRecord(name, f"{name}-{revision}", place, "x:1", "x:2", False)
         self.registered_order.apply(record, revision)
         for memberships in self.memberships:
             memberships._discard_orders()
 
-    def look_again(self):
-        """Let all VMs hear all others anew."""
+    def refresh(self):
+        """Let all VMs discard their cached state of the mesh."""
         for memberships in self.memberships:
             memberships._refreshed_at = None
 
@@ -135,7 +135,7 @@
     for _ in range(5):
         stepped_in.append([name for name, role in roles.items() if role.should_relay()])
         await fleet.timers.advance(STEP_IN_S)
-        fleet.look_again()
+        fleet.refresh()
     assert stepped_in[0] == ["vm-0", "vm-1"]
     assert stepped_in[1] == ["vm-0", "vm-1", "vm-10", "vm-11"]
     assert stepped_in[2] == list(roles)
--- a/hawthornlead/tests/test_relay_elections.py
+++ b/hawthornlead/tests/test_relay_elections.py
@@ -1,4 +1,4 @@
-"""Tests of which VMs watch the store for the others, and how another steps in."""
+"""Tests of which VMs relay the store for the others, and how relays are replaced."""
 
 from hawthornlead.gateway.records import StoredRecord, StoreEvent
 from hawthornlead.gateway.relay_elections import (
@@ -31,69 +31,69 @@
         return NAMES[:count]
 
 
-def role_of(vm, timers):
+def election_of(vm, timers):
     view = FakeFleetView(vm)
     return RelayElection(memberships=view, mesh=view, timers=timers)
 
 
-async def hear(roles, timers, seconds, *vouching):
-    """Let time pass, in which these relays vouch."""
+async def record_heartbeats(elections, timers, seconds, *up_to_date):
+    """Advance the time while these relays confirm kinds as up to date."""
     for _ in range(round(seconds / 0.05)):
-        for role in roles:
+        for election in elections:
             for vm in NAMES[:2]:
-                role.record_heartbeat(vm, vm in vouching)
+                election.record_heartbeat(vm, vm in up_to_date)
         await timers.advance(0.05)
 
 
 async def test_the_two_that_registered_first_watch():
     timers = ManualTimerService()
-    assert role_of("vm-0", timers).should_relay()
-    assert role_of("vm-1", timers).should_relay()
-    third = role_of("vm-2", timers)
-    await hear([third], timers, 3.0, "vm-0", "vm-1")
+    assert election_of("vm-0", timers).should_relay()
+    assert election_of("vm-1", timers).should_relay()
+    third = election_of("vm-2", timers)
+    await record_heartbeats([third], timers, 3.0, "vm-0", "vm-1")
     assert not third.should_relay()
 
 
 async def test_the_next_two_step_in_for_relays_that_the_store_turns_away():
     """Guards against a fleet whose VMs all watch the store while relays are refused."""
     timers = ManualTimerService()
-    roles = [role_of(vm, timers) for vm in NAMES[2:]]
-    await hear(roles, timers, 2.0, "vm-0", "vm-1")
-    assert not any(role.should_relay() for role in roles)
-    await hear(roles, timers, 0.1)
-    assert not any(role.should_relay() for role in roles)
-    await hear(roles, timers, STEP_IN_S + 0.05)
-    assert [role.should_relay() for role in roles] == [True, True, False]
-    await hear(roles, timers, STEP_IN_S + 0.05)
-    assert [role.should_relay() for role in roles] == [True, True, True]
-    await hear(roles, timers, 0.1, "vm-0", "vm-1")
-    assert not any(role.should_relay() for role in roles)
+    elections = [election_of(vm, timers) for vm in NAMES[2:]]
+    await record_heartbeats(elections, timers, 2.0, "vm-0", "vm-1")
+    assert not any(election.should_relay() for election in elections)
+    await record_heartbeats(elections, timers, 0.1)
+    assert not any(election.should_relay() for election in elections)
+    await record_heartbeats(elections, timers, STEP_IN_S + 0.05)
+    assert [election.should_relay() for election in elections] == [True, True, False]
+    await record_heartbeats(elections, timers, STEP_IN_S + 0.05)
+    assert [election.should_relay() for election in elections] == [True, True, True]
+    await record_heartbeats(elections, timers, 0.1, "vm-0", "vm-1")
+    assert not any(election.should_relay() for election in elections)
 
 
 async def test_one_steps_in_for_one_relay_that_the_store_turns_away():
     """Guards against more relays than are lacking."""
     timers = ManualTimerService()
-    roles = [role_of(vm, timers) for vm in NAMES[2:]]
-    await hear(roles, timers, 2.0, "vm-0", "vm-1")
-    assert not any(role.should_relay() for role in roles)
-    await hear(roles, timers, 0.1, "vm-1")
-    assert not any(role.should_relay() for role in roles)
-    await hear(roles, timers, STEP_IN_S + 0.05, "vm-1")
-    assert [role.should_relay() for role in roles] == [True, False, False]
+    elections = [election_of(vm, timers) for vm in NAMES[2:]]
+    await record_heartbeats(elections, timers, 2.0, "vm-0", "vm-1")
+    assert not any(election.should_relay() for election in elections)
+    await record_heartbeats(elections, timers, 0.1, "vm-1")
+    assert not any(election.should_relay() for election in elections)
+    await record_heartbeats(elections, timers, STEP_IN_S + 0.05, "vm-1")
+    assert [election.should_relay() for election in elections] == [True, False, False]
 
 
-async def test_silent_relays_are_replaced_as_their_words_grow_old():
+async def test_silent_relays_are_replaced_once_their_heartbeats_expire():
     timers = ManualTimerService()
-    third = role_of("vm-2", timers)
-    await hear([third], timers, 1.0, "vm-0", "vm-1")
+    third = election_of("vm-2", timers)
+    await record_heartbeats([third], timers, 1.0, "vm-0", "vm-1")
     await timers.advance(RELAY_HEARTBEAT_TTL_S)
     assert not third.should_relay()
     await timers.advance(STEP_IN_S)
     assert third.should_relay()
 
 
-async def test_who_was_told_all_by_one_relay_needs_no_listing_for_the_next():
-    """Guards against all VMs listing all objects at once as another relay steps in."""
+async def test_a_vm_that_is_up_to_date_with_one_relay_needs_no_listing_for_the_next():
+    """Guards against all VMs listing all objects at once when a relay is replaced."""
     site = Site()
     a, b, c = (site.add(name) for name in "abc")
     for vm in (a, b, c):
@@ -109,17 +109,17 @@
     assert a.relays.is_relayed("config")
     await a.relays._on_heartbeat(b.mesh.myself, RelayHeartbeat(()))
     assert not a.relays.is_relayed("config")
-    word = RelayHeartbeat((RelayedKind("config", 9, 9),))
-    await a.relays._on_heartbeat(c.mesh.myself, word)
+    heartbeat = RelayHeartbeat((RelayedKind("config", 9, 9),))
+    await a.relays._on_heartbeat(c.mesh.myself, heartbeat)
     assert a.relays.is_relayed("config")
-    # One that missed what the first relay told last must ask.
-    await c.relays._on_heartbeat(a.mesh.myself, word)
+    # A VM that missed the last changes of the first relay must fetch them.
+    await c.relays._on_heartbeat(a.mesh.myself, heartbeat)
     assert not c.relays.is_relayed("config")
     await site.stop()
 
 
-async def test_the_second_relay_vouches_too_for_who_knows_all_that_it_told():
-    """Guards against all VMs turning to the store as one of two relays is away."""
+async def test_the_second_relay_also_confirms_a_vm_that_has_all_its_changes():
+    """Guards against all VMs calling the store while one of two relays is down."""
     site = Site()
     a, b, c = (site.add(name) for name in "abc")
     for vm in (a, b, c):
@@ -136,14 +136,14 @@
     await site.stop()
 
 
-async def test_a_relay_passes_on_what_the_other_relay_told_it_first():
-    """Guards against a change that half of the VMs miss, since one relay is silent."""
+async def test_a_relay_forwards_changes_that_it_first_received_from_the_other():
+    """Guards against a change that half of the VMs miss because one relay is silent."""
     site = Site()
     a, b = site.add("a"), site.add("b")
     for vm in (a, b):
         vm.stop()
-    told = []
-    a.mesh.broadcast = told.append
+    sent = []
+    a.mesh.broadcast = sent.append
     a.watchers["config"]._known.apply_listing(5, ())
     a.relays._relaying = True
     a.relays._start_log("config")
@@ -151,5 +151,5 @@
     await a.relays._on_changes(b.mesh.myself, RelayedChanges("config", 5, 6, (record,)))
     seen = StoredRecord("x", 6, {"n": 1}, None)
     a.relays.on_watched("config", 5, 6, (StoreEvent(seen, False),))
-    assert told == [RelayedChanges("config", 5, 6, (record,))]
+    assert sent == [RelayedChanges("config", 5, 6, (record,))]
     await site.stop()
--- a/hawthornlead/tests/test_vm_leases.py
+++ b/hawthornlead/tests/test_vm_leases.py
@@ -1,4 +1,4 @@
-"""Tests of the lease under which orders are given, and of taking over from another."""
+"""Tests of the lease under which orders are given, and of takeovers."""
 
 from hawthornlead.gateway.ownerships import ORDER_MARGIN_S, OWNERS_KIND
 from hawthornlead.gateway.vm_leases import LEASE_S, LEASES_KIND
@@ -20,10 +20,10 @@
 
 
 async def test_a_suspended_owner_finds_its_ownership_gone():
-    """Two VMs order one engine, which evicts under both their requests.
+    """Guards against two VMs ordering one engine, which evicts under their requests.
 
-    The owner's machine was suspended. Another took over meanwhile; the first woke,
-    renewed its lease, and went on as if it were still the owner.
+    The machine of the owner is suspended, and another VM takes over. The first resumes,
+    renews its lease, and must not continue as the owner.
     """
     fleet = Fleet()
     await fleet.a.lease._renew()
