--- a/hawthornlead/daemon/daemon_parts.py
+++ b/hawthornlead/daemon/daemon_parts.py
@@ -1,7 +1,7 @@
-"""The parts of one VM's process, built from the settings in three groups.
+"""Builds the parts of one VM's process from the settings, in three groups.
 
-Each group is handed the groups that it builds on, so that what depends on what can be
-read from the signatures; no part knows a group, only the collaborators it is handed::
+Each function takes the groups that its own group depends on, so the signatures show
+the dependencies. A part knows no group, only the collaborators passed to it::
 
     coordination = build_coordination(core, store=None)
     targets = build_targets(core, coordination)
@@ -49,7 +49,7 @@
 
 
 class CoordinationParts(NamedTuple):
-    """What VMs agree by: the store, other VMs, leases, owners, bundles, claims."""
+    """The parts that coordinate VMs: store, mesh, leases, owners, bundles, claims."""
 
     store: ObjectStore
     vm_list: VmList
@@ -62,7 +62,7 @@
 
 
 class TargetParts(NamedTuple):
-    """What VMs know of targets and do for those that they own."""
+    """The parts that observe targets, and manage those that this VM owns."""
 
     popularity: Popularity
     shares: PopularityExchange
@@ -76,7 +76,7 @@
 
 
 class RequestParts(NamedTuple):
-    """What serves callers: requests for adapters, and calls to plain services."""
+    """The parts that serve adapter requests and calls to plain services."""
 
     connections: TargetConnections
     admissions: Admissions
@@ -88,7 +88,7 @@
 def build_coordination(
     core: CoreParts, store: ObjectStore | None = None
 ) -> CoordinationParts:
-    """Build what VMs agree by, over the platform's store unless one is given."""
+    """Build the coordination parts, with the platform's store unless one is given."""
     common = _common(core)
     rng, invariants = core.rng, core.invariants
     incarnation = f"{core.settings['VM_NAME']}.{rng.getrandbits(64):016x}"
@@ -123,7 +123,7 @@
 
 
 def _common(core: CoreParts) -> dict[str, Any]:
-    """Return by keyword what the library's parts take one by one."""
+    """Return the keyword arguments that several parts have in common."""
     return {
         "settings": core.settings,
         "timers": core.timers,
@@ -133,7 +133,7 @@
 
 
 def build_targets(core: CoreParts, coordination: CoordinationParts) -> TargetParts:
-    """Build what knows targets, with the strategies that the settings name."""
+    """Build the target parts, with the strategies that the settings name."""
     settings, timers, rng = core.settings, core.timers, core.rng
     mesh, owners = coordination.mesh, coordination.owners
     popularity = POPULARITIES[settings["POPULARITY"]](settings=settings)
@@ -183,9 +183,9 @@
 
 
 def _owner_policies(settings: Settings, requested: Popularity) -> Policies:
-    """Return what an owner decides by; ``requested`` is what VMs tell one another."""
-    # Owners count what all VMs begin on their targets, by their renewals; sharing
-    # the counters of this VM's own requests would count those twice.
+    """Return an owner's policies; ``requested`` is the popularity that VMs exchange."""
+    # Owners count the requests that all VMs start on their targets, from grant
+    # renewals. Sharing the counters of this VM's own requests would count these twice.
     granted = POPULARITIES[settings["POPULARITY"]](settings=settings)
     return Policies(
         EVICTIONS[settings["EVICTION"]](settings=settings),
@@ -197,7 +197,7 @@
 def build_requests(
     core: CoreParts, coordination: CoordinationParts, targets: TargetParts
 ) -> RequestParts:
-    """Build the paths of callers' requests, and what both share."""
+    """Build the request path, the service path, and the parts that both share."""
     settings, timers = core.settings, core.timers
     connections = TargetConnections(timers=timers)
     admissions = Admissions(settings=settings, timers=timers, rng=core.rng)
--- a/hawthornlead/daemon/daemon_servers.py
+++ b/hawthornlead/daemon/daemon_servers.py
@@ -1,7 +1,7 @@
-"""The HTTP servers of one VM: which routes answer on which of its ports.
+"""The HTTP servers of one VM: which routes are served on which port.
 
-Callers and operators connect to one port. Metrics, and status and time line without
-a signature, are on a port of their own where ``METRICS_ADDRESS`` is set::
+Callers and operators use the same port. If ``METRICS_ADDRESS`` is set, metrics, and
+status and time line without signatures, are served on that separate port::
 
     servers = start_servers(listeners, server_parts)
 """
@@ -23,7 +23,7 @@
 
 
 class ServerParts(NamedTuple):
-    """What the handlers of all ports work with."""
+    """The parts that the handlers of all ports use."""
 
     settings: Settings
     callers: CallerParts
@@ -34,13 +34,13 @@
 
 
 def start_servers(listeners: Listeners, parts: ServerParts) -> list[HTTPServer]:
-    """Begin to answer on all ports; returns what is to be stopped later."""
+    """Start to serve on all ports; return the servers, to be stopped later."""
     servers = []
     routes = _caller_routes(parts)
     if listeners.metrics:
-        inside = timeline_routes(parts.timeline) + status_routes(parts.status)
-        inside += metrics_routes(parts.queries)
-        server = HTTPServer(Application(inside))
+        unsigned = timeline_routes(parts.timeline) + status_routes(parts.status)
+        unsigned += metrics_routes(parts.queries)
+        server = HTTPServer(Application(unsigned))
         server.add_sockets(listeners.metrics)
         servers.append(server)
     else:
@@ -59,7 +59,7 @@
 
 
 def _caller_routes(parts: ServerParts) -> list:
-    """Return the routes of callers and operators, the latter's behind signatures."""
+    """Return the routes of callers, and those of operators, which need signatures."""
     status, guard = parts.status, parts.guard
     routes = caller_routes(parts.callers) + query_routes(parts.queries)
     routes += operator_routes(guard=guard, keeper=status.keeper, mesh=status.mesh)
--- a/hawthornlead/daemon/daemons.py
+++ b/hawthornlead/daemon/daemons.py
@@ -1,7 +1,7 @@
-"""The daemon of one VM: starts all parts, answers on its ports, drains, stops.
+"""The daemon of one VM: starts all parts, serves on its ports, drains and stops.
 
-Parts know only the collaborators that they are handed; this is the one place that
-knows the order in which they start and stop. ``daemon_parts`` builds them::
+Defines the order in which the parts start and stop; each part knows only the
+collaborators passed to it. ``daemon_parts`` builds them::
 
     daemon = Daemon(settings)
     await daemon.start()
@@ -33,7 +33,7 @@
 from ..stores.stores import ObjectStore
 from .daemon_parts import build_coordination, build_requests, build_targets
 from .daemon_servers import ServerParts, start_servers
-from .listeners import Listeners, address_of, open_listeners, refused
+from .listeners import Listeners, address_of, invalid_setting, open_listeners
 from .query_handlers import QueryParts
 
 
@@ -46,7 +46,7 @@
         store: ObjectStore | None = None,
         seed: int | None = None,
     ):
-        # A copy: a port that the system chose is entered in it at the start.
+        # A copy, in which the port chosen by the system is entered at the start.
         self._settings = dict(settings)
         rng = Random(secrets.randbits(64) if seed is None else seed)
         core = build_core(self._settings, rng)
@@ -95,9 +95,9 @@
         return self._invariants
 
     async def open(self) -> Result[None, Failure]:
-        """Open all ports; nothing is answered or told to other VMs yet.
+        """Open all ports; nothing is served or announced to other VMs yet.
 
-        Fails with ``BAD_SETTINGS`` when the machine does not allow what is set.
+        Fails with ``BAD_SETTINGS`` if the machine does not allow an address.
         """
         opened = open_listeners(self._settings)
         if isinstance(opened, Err):
@@ -107,16 +107,18 @@
             await self._mesh.listen()
         except OSError as error:
             self._listeners.close()
-            return refused("peer_address", self._settings["PEER_ADDRESS"], error)
-        # Set before other VMs are told of it: the address at which callers will be
-        # answered.
+            return invalid_setting(
+                "peer_address", self._settings["PEER_ADDRESS"], error
+            )
+        # Set before it is announced to other VMs: the address on which callers will be
+        # served.
         self._settings["CALLER_ADDRESS"] = address_of(
             self._listeners.callers, self._settings["CALLER_ADDRESS"]
         )
         return Ok(None)
 
     async def start(self) -> None:
-        """Start all parts, then answer callers; opens the ports if need be."""
+        """Start all parts, then serve callers; open the ports if not done yet."""
         if self._listeners is None:
             (await self.open()).unwrap()
         self._vm_list.start()
@@ -132,7 +134,7 @@
         self._shares.start()
         self._claims.start()
         self._keeper.start()
-        self._timers.every(self._settings["HEARTBEAT_S"], self._meet, "peers")
+        self._timers.every(self._settings["HEARTBEAT_S"], self._update_peers, "peers")
         self._servers = start_servers(self._listeners, self._server_parts())
         self._events.emit(
             EventKind.PROCESS_STARTED,
@@ -142,11 +144,11 @@
         )
 
     async def drain(self) -> None:
-        """Take no new work, wait for what is in flight, then hand everything over."""
+        """Stop accepting requests once entry answers expire; finish those in flight."""
         await self._drain.run(self._admissions)
 
     async def stop(self) -> None:
-        """Stop all parts, in the order in which others depend on them."""
+        """Stop all parts, each one before those that it depends on."""
         for server in self._servers:
             server.stop()
         await self._shares.stop()
@@ -164,11 +166,11 @@
         self._connections.close()
         for server in self._servers:
             await server.close_all_connections()
-        # OWN-4: a goodbye and a refused peer port are taken as proof that this process
-        # does nothing any more. While a request or a write of it is under way they
-        # prove too much: others act as if it were gone and meet what it still does.
-        # So the port is closed after everything else; the store is kept until then
-        # for what peers still ask.
+        # OWN-4: other VMs take a goodbye and a refused peer port as proof that this
+        # process does nothing any more. During a request or write of this process that
+        # would be wrong: they would act as if it were gone and conflict with it. So the
+        # port is closed after everything else; the store is kept until then for
+        # requests of peers.
         await self._members.stop()
         await self._mesh.stop(goodbye=True)
         await self._store.stop()
@@ -184,7 +186,9 @@
             self._services,
             self._drain,
         )
-        queries = QueryParts(self._members, self._keeper, self._metrics, self._reason)
+        queries = QueryParts(
+            self._members, self._keeper, self._metrics, self._refusal_reason
+        )
         keys = OperatorKeys(self._settings["OPERATORS"])
         guard = RequestGuard(keys, self._timers, self._events)
         timeline = Timeline(
@@ -211,8 +215,8 @@
             self._invariants,
         )
 
-    def _meet(self) -> None:
-        """Tell the mesh which VMs to keep connections with."""
+    def _update_peers(self) -> None:
+        """Set the VMs with which the mesh keeps connections."""
         peers = {}
         for registration in self._leases.registered():
             if registration.state == "live":
@@ -229,11 +233,11 @@
             min(3600.0, max(0.0, self._timers.now() - self._store.answered_at)),
         )
 
-    def _reason(self) -> str:
-        """Return why no request would be served now, empty if one would."""
-        drains = self._drain.refusal()
-        if drains is not None:
-            return drains.detail
+    def _refusal_reason(self) -> str:
+        """Return why requests would be refused now, empty if they would be served."""
+        draining = self._drain.refusal()
+        if draining is not None:
+            return draining.detail
         serving = self._keeper.may_serve()
         return "" if serving.is_ok() else serving.err_value.detail
 
@@ -241,7 +245,7 @@
 def run_daemon(settings: Settings) -> Result[None, Failure]:
     """Run the daemon until it is asked to stop, then drain and stop it.
 
-    Fails at once with ``BAD_SETTINGS`` when a port can't be opened.
+    Fails at once with ``BAD_SETTINGS`` if a port can't be opened.
     """
     AsyncHTTPClient.configure(
         "tornado.simple_httpclient.SimpleAsyncHTTPClient",
@@ -252,10 +256,10 @@
 
 
 def _freeze_start() -> None:
-    """Leave what the start has made out of all later garbage collections.
+    """Exclude the objects created at startup from later garbage collections.
 
-    Modules and parts live as long as the process. Each full collection looked
-    through all of them, which held up every stream for as long as a token may take.
+    Modules and parts live as long as the process. If each full collection scanned
+    them, it would pause every stream for about the time of one token.
     """
     gc.collect()
     gc.freeze()
@@ -263,16 +267,16 @@
 
 async def _run(settings: Settings) -> Result[None, Failure]:
     daemon = Daemon(settings)
-    asked = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, asked.set)
+        loop.add_signal_handler(number, stop_requested.set)
     opened = await daemon.open()
     if isinstance(opened, Err):
         return opened
     await daemon.start()
     _freeze_start()
-    await asked.wait()
+    await stop_requested.wait()
     await daemon.drain()
     await daemon.stop()
     return Ok(None)
--- a/hawthornlead/daemon/listeners.py
+++ b/hawthornlead/daemon/listeners.py
@@ -1,7 +1,7 @@
-"""The sockets and certificates of a VM, opened before any part starts.
+"""The listening sockets and the TLS certificate of a VM, opened before any part starts.
 
-What the machine can't give, a port that is taken or a file that isn't there, is one
-failure that names the setting::
+If the machine can't provide one, such as a port in use or a missing file, the failure
+names the setting::
 
     opened = open_listeners(settings)
 """
@@ -18,7 +18,7 @@
 
 
 class Listeners(NamedTuple):
-    """Bound sockets, on which nothing is answered yet; ``metrics`` may be empty."""
+    """Bound sockets, on which nothing is served yet; ``metrics`` may be empty."""
 
     callers: list[socket.socket]
     metrics: list[socket.socket]
@@ -26,13 +26,13 @@
 
     def close(self) -> None:
         """Close all sockets."""
-        for each in self.callers + self.metrics:
-            each.close()
+        for listener in self.callers + self.metrics:
+            listener.close()
 
 
 def open_listeners(settings: Settings) -> Result[Listeners, Failure]:
     """Bind the addresses for callers and metrics, and read the certificate."""
-    tls = _tls(settings)
+    tls = _load_tls(settings)
     if isinstance(tls, Err):
         return tls
     callers = _bind("caller_address", settings["CALLER_ADDRESS"])
@@ -47,15 +47,15 @@
     return Ok(Listeners(callers.ok_value, metrics.ok_value, tls.ok_value))
 
 
-def refused(key: str, value: str, error: OSError) -> Err[Failure]:
+def invalid_setting(key: str, value: str, error: OSError) -> Err[Failure]:
     """Return the failure of a setting that the machine does not allow."""
-    told = error.strerror or str(error)
-    return Err(Failure(ErrorKind.BAD_SETTINGS, f"{key} = {value}: {told}"))
+    reason = error.strerror or str(error)
+    return Err(Failure(ErrorKind.BAD_SETTINGS, f"{key} = {value}: {reason}"))
 
 
-def address_of(sockets: list[socket.socket], asked: str) -> str:
-    """Return the address asked for, its port the real one."""
-    host, _, _ = asked.rpartition(":")
+def address_of(sockets: list[socket.socket], requested: str) -> str:
+    """Return the requested address with the port that the first socket is bound to."""
+    host, _, _ = requested.rpartition(":")
     return f"{host}:{sockets[0].getsockname()[1]}"
 
 
@@ -64,10 +64,10 @@
     try:
         return Ok(bind_sockets(int(port), host.strip("[]")))
     except OSError as error:
-        return refused(key, address, error)
+        return invalid_setting(key, address, error)
 
 
-def _tls(settings: Settings) -> Result[ssl.SSLContext | None, Failure]:
+def _load_tls(settings: Settings) -> Result[ssl.SSLContext | None, Failure]:
     certificate, key = settings["TLS_CERTIFICATE"], settings["TLS_KEY"]
     if not certificate:
         return Ok(None)
@@ -76,5 +76,7 @@
     try:
         context.load_cert_chain(certificate, key)
     except OSError as error:
-        return refused("tls_certificate, tls_key", f"{certificate}, {key}", error)
+        return invalid_setting(
+            "tls_certificate, tls_key", f"{certificate}, {key}", error
+        )
     return Ok(context)
--- a/hawthornlead/daemon/query_handlers.py
+++ b/hawthornlead/daemon/query_handlers.py
@@ -1,4 +1,4 @@
-"""HTTP queries that change nothing: entry addresses, health, metrics, state."""
+"""HTTP handlers for read-only queries: entry addresses, health, readiness, metrics."""
 
 import json
 from collections.abc import Callable
@@ -13,9 +13,9 @@
 
 
 class QueryParts(NamedTuple):
-    """The parts that the queries read.
+    """The parts that the query handlers read.
 
-    ``ready`` says whether requests would be served now, or why not.
+    ``ready`` returns why requests would be refused now, empty if they would be served.
     """
 
     members: Members
@@ -25,10 +25,10 @@
 
 
 class QueryHandler(RequestHandler):
-    """What all queries share."""
+    """Base class of the query handlers."""
 
     def initialize(self, parts: QueryParts) -> None:
-        """Take the parts that the daemon built."""
+        """Set the parts that the daemon built."""
         self._parts = parts
 
     def answer(self, fields: dict, status: int = 200) -> None:
@@ -39,9 +39,9 @@
 
 
 class EntryHandler(QueryHandler):
-    """``GET /entry``: which addresses to use, and for how long to keep them.
+    """``GET /entry``: which addresses to use, and for how long to cache them.
 
-    ``?data_centre=NAME`` asks for addresses near a caller that knows where it is.
+    ``?data_centre=NAME`` requests addresses near a caller in that data centre.
     """
 
     def get(self) -> None:
@@ -52,7 +52,7 @@
 
 
 class HealthHandler(QueryHandler):
-    """``GET /healthz``: the process runs and its event loop turns."""
+    """``GET /healthz``: the process and its event loop are running."""
 
     def get(self) -> None:
         """Answer that the process is alive."""
@@ -78,7 +78,7 @@
 
 
 def query_routes(parts: QueryParts) -> list:
-    """Return the tornado routes of the queries that anybody may ask."""
+    """Return the tornado routes of the queries that need no authentication."""
     return [
         (r"/entry", EntryHandler, {"parts": parts}),
         (r"/healthz", HealthHandler, {"parts": parts}),
@@ -87,5 +87,5 @@
 
 
 def metrics_routes(parts: QueryParts) -> list:
-    """Return the route of the metrics, which may have an address of its own."""
+    """Return the route of the metrics, which may be served on a separate address."""
     return [(r"/metrics", MetricsHandler, {"parts": parts})]
--- a/hawthornlead/stores/__init__.py
+++ b/hawthornlead/stores/__init__.py
@@ -1,7 +1,7 @@
 """Stores of objects with conditional updates and watches, over HTTP and in memory.
 
-Every write is a compare-and-swap whose lost reply is resolved; what the objects
-mean is the business of the packages above.
+Every write is a compare-and-swap, and a lost reply to it is resolved. The packages
+that import this one define what the objects mean.
 
 May import: the common modules.
 """
--- a/hawthornlead/stores/http_stores.py
+++ b/hawthornlead/stores/http_stores.py
@@ -1,4 +1,4 @@
-"""The object API over HTTP, by tornado's client."""
+"""A client of the object API over HTTP, with tornado's HTTP client."""
 
 import asyncio
 import json
@@ -15,7 +15,7 @@
 
 
 class HttpObjectStore(ObjectStore):
-    """The object API over HTTP, a fresh connection for each call and watch."""
+    """The object API over HTTP, with a new connection for each call and watch."""
 
     def __init__(self, *, settings, timers, rng, events=None, metrics=None):
         super().__init__(
@@ -24,7 +24,7 @@
         self._url = f"http://{settings['STORE_ADDRESS']}/objects/"
         self._timeout_s = settings["STORE_TIMEOUT_S"]
         self._client = AsyncHTTPClient(force_instance=True, max_clients=64)
-        # Watches stay open; they must not use up the places of calls.
+        # Watches stay open, so they must not use the connection limit of calls.
         self._watch_client = AsyncHTTPClient(
             force_instance=True, max_clients=64, max_body_size=1 << 40
         )
@@ -36,7 +36,7 @@
         self._watch_client.close()
 
     async def open_watch(self, kind: str, since: int) -> AsyncIterator[WatchLine]:
-        """Open one connection that tells the changes after ``since``."""
+        """Open one connection that streams the changes after ``since``."""
         lines: asyncio.Queue[WatchLine | None] = asyncio.Queue()
         fetch = asyncio.ensure_future(self._fetch_watch(kind, since, lines))
         try:
@@ -44,13 +44,13 @@
                 yield line
             await fetch
         finally:
-            # The connection itself ends with its request timeout at the latest.
+            # The connection itself closes at its request timeout at the latest.
             fetch.cancel()
 
     async def _fetch_watch(self, kind: str, since: int, lines: asyncio.Queue) -> None:
         rest = bytearray()
 
-        def take(chunk: bytes) -> None:
+        def on_chunk(chunk: bytes) -> None:
             rest.extend(chunk)
             *whole, last = bytes(rest).split(b"\n")
             rest[:] = last
@@ -62,7 +62,7 @@
             f"{self._url}{quote(kind, safe='')}?watch=1&since={since}",
             connect_timeout=self._timeout_s,
             request_timeout=self._settings["WATCH_RELIST_S"],
-            streaming_callback=take,
+            streaming_callback=on_chunk,
         )
         try:
             await self._watch_client.fetch(request)
--- a/hawthornlead/stores/memory_stores.py
+++ b/hawthornlead/stores/memory_stores.py
@@ -1,4 +1,4 @@
-"""A store in memory, with faults that can be switched, for tests and embedding.
+"""A store in memory, with switchable faults, for tests and embedding.
 
 Several VMs in one process share one ``MemoryObjects`` through a ``MemoryStore``
 each, so that each can have its own clock and its own faults::
@@ -24,13 +24,13 @@
 
 
 class MemoryObjects:
-    """Objects shared by any number of ``MemoryStore``; counts reads and writes."""
+    """Objects shared by several ``MemoryStore`` clients; counts reads and writes."""
 
     def __init__(self, history: int = 10000):
         self._objects: dict[tuple[str, str], StoredObject] = {}
         self._history: list[tuple[str, WatchLine]] = []
         self._history_size = history
-        self._forgotten = 0
+        self._truncated_at = 0
         self._version = 0
         self._watchers: list[tuple[str, asyncio.Queue]] = []
         self.outage = False
@@ -56,7 +56,7 @@
     def write(
         self, kind: str, name: str, value: dict | None, version: int | None
     ) -> Result[StoredObject, Failure]:
-        """Put a value, or delete with None, if the version still fits."""
+        """Put a value, or delete if it is None, provided the version still matches."""
         self.writes += 1
         current = self._objects.get((kind, name))
         if (current and current.version) != version:
@@ -69,12 +69,12 @@
             del self._objects[(kind, name)]
         else:
             self._objects[(kind, name)] = stored
-        self._tell(kind, "delete" if value is None else "put", stored)
+        self._publish(kind, "delete" if value is None else "put", stored)
         return Ok(copy.deepcopy(stored))
 
-    def follow(self, kind: str, since: int) -> asyncio.Queue:
-        """Return a queue of the lines after ``since``; raise ``WatchGone``."""
-        if since < self._forgotten:
+    def subscribe(self, kind: str, since: int) -> asyncio.Queue:
+        """Return a queue of the lines after ``since``, or raise ``WatchGone``."""
+        if since < self._truncated_at:
             raise WatchGone
         queue: asyncio.Queue = asyncio.Queue()
         for line_kind, line in self._history:
@@ -83,20 +83,20 @@
         self._watchers.append((kind, queue))
         return queue
 
-    def unfollow(self, queue: asyncio.Queue) -> None:
-        """Tell a queue nothing more."""
+    def unsubscribe(self, queue: asyncio.Queue) -> None:
+        """Stop sending lines to a queue."""
         self._watchers = [w for w in self._watchers if w[1] is not queue]
 
     def forget_history(self) -> None:
-        """Answer "gone" to every watch that would resume from before now."""
+        """Discard the history, so a watch can't resume from before now."""
         self._history.clear()
-        self._forgotten = self._version
+        self._truncated_at = self._version
 
-    def _tell(self, kind: str, change: str, stored: StoredObject) -> None:
+    def _publish(self, kind: str, change: str, stored: StoredObject) -> None:
         line = WatchLine(change, stored.version, stored.name, stored.value)
         self._history.append((kind, line))
         if len(self._history) > self._history_size:
-            self._forgotten = self._history.pop(0)[1].version
+            self._truncated_at = self._history.pop(0)[1].version
         for watched, queue in self._watchers:
             if watched == kind:
                 queue.put_nowait(copy.deepcopy(line))
@@ -105,9 +105,9 @@
 class MemoryStore(ObjectStore):
     """One VM's client of a ``MemoryObjects``.
 
-    Faults: ``outage`` (nothing is answered), ``slow_s`` (each call takes that
-    long), ``lose_next_reply`` (so many writes take effect unanswered),
-    ``silent_watches`` (open watches say nothing more, new ones do).
+    Faults: ``outage`` (no call is answered), ``slow_s`` (each call takes that long),
+    ``lose_next_reply`` (the replies to this many writes are lost, although they take
+    effect), ``silence_watches`` (open watches receive nothing more, new ones do).
     """
 
     def __init__(
@@ -130,24 +130,26 @@
         self._queues: list[asyncio.Queue] = []
 
     def silence_watches(self) -> None:
-        """Make the watches that are open now say nothing more."""
+        """Stop sending lines to the watches that are open now."""
         for queue in self._queues:
-            self.objects.unfollow(queue)
+            self.objects.unsubscribe(queue)
 
     def cut_watches(self) -> None:
-        """End the connections of the watches that are open now."""
+        """Close the connections of the watches that are open now."""
         for queue in self._queues:
             queue.put_nowait(_CLOSED)
 
     async def open_watch(self, kind: str, since: int) -> AsyncIterator[WatchLine]:
-        """Tell the changes after ``since``, with a bookmark when idle."""
-        await self._pass()
+        """Stream the changes after ``since``, with periodic bookmarks."""
+        await self._delay()
         if self._is_out():
             raise OSError("store: outage")
-        queue = self.objects.follow(kind, since)
+        queue = self.objects.subscribe(kind, since)
         self._queues.append(queue)
         interval = self._settings["WATCH_SILENT_S"] / 4
-        bookmark = self._timers.every(interval, lambda: self._mark(queue), "bookmark")
+        bookmark = self._timers.every(
+            interval, lambda: self._send_bookmark(queue), "bookmark"
+        )
         try:
             while (line := await queue.get()) is not _CLOSED:
                 if self._is_out():
@@ -156,28 +158,28 @@
         finally:
             bookmark.cancel()
             self._queues.remove(queue)
-            self.objects.unfollow(queue)
+            self.objects.unsubscribe(queue)
 
-    def _mark(self, queue: asyncio.Queue) -> None:
+    def _send_bookmark(self, queue: asyncio.Queue) -> None:
         if any(queue is followed for _, followed in self.objects._watchers):
             queue.put_nowait(WatchLine("bookmark", self.objects.version))
 
     def _is_out(self) -> bool:
         return self.outage or self.objects.outage
 
-    async def _pass(self) -> None:
+    async def _delay(self) -> None:
         await asyncio.sleep(0)
         if self.slow_s:
             await self._timers.sleep(self.slow_s)
 
     async def _get(self, kind, name) -> Result[StoredObject | None, Failure]:
-        await self._pass()
+        await self._delay()
         if self._is_out():
             return Err(unavailable("store: outage", False))
         return Ok(self.objects.get(kind, name))
 
     async def _list(self, kind) -> Result[StoreList, Failure]:
-        await self._pass()
+        await self._delay()
         if self._is_out():
             return Err(unavailable("store: outage", False))
         return Ok(self.objects.list(kind))
@@ -189,7 +191,7 @@
         return (await self._write(kind, name, None, version)).map(lambda _: None)
 
     async def _write(self, kind, name, value, version) -> Result:
-        await self._pass()
+        await self._delay()
         if self._is_out():
             return Err(unavailable("store: outage", True))
         written = self.objects.write(kind, name, value, version)
--- a/hawthornlead/stores/stored_objects.py
+++ b/hawthornlead/stores/stored_objects.py
@@ -1,10 +1,10 @@
-"""What the object API holds and tells: objects, lists, and lines of a watch."""
+"""Data of the object API: objects, lists, and lines of a watch."""
 
 from typing import NamedTuple
 
 
 class StoredObject(NamedTuple):
-    """An object as the store holds it; ``version`` counts over the whole store."""
+    """An object in the store; ``version`` is counted over the whole store."""
 
     kind: str
     name: str
--- a/hawthornlead/stores/stores.py
+++ b/hawthornlead/stores/stores.py
@@ -1,8 +1,8 @@
-"""The platform's object API: conditional updates whose answers can be trusted.
+"""A client of the platform's object API, with reliable conditional updates.
 
 A reply can be lost after its write took effect, and can arrive after a newer one.
-``ObjectStore`` hides both: ``update`` recognises its own write when it reads
-back, and no answer is older than one given before::
+``ObjectStore`` handles both: ``update`` recognizes its own write when it reads the
+object back, and no answer is older than one returned before::
 
     def change(value):
         return {**(value or {}), "owner": "vm-1"}
@@ -20,7 +20,7 @@
 from ..events import EventKind
 from .stored_objects import StoredObject, StoreList, WatchEvent
 from .watches import Watch, WatchSource
-from .write_ids import Doubt, Fate, fate_of, stamp
+from .write_ids import Fate, UncertainWrite, fate_of, stamp
 
 __all__ = [
     "ObjectStore",
@@ -33,17 +33,17 @@
 Change = Callable[[dict | None], dict | None]
 
 MAX_VALUE_BYTES = 1 << 20
-UPDATE_TRIES = 24
-TRIES_AT_ONCE = 4
-VERSIONS_REMEMBERED = 8192
-STALE_TRIES = 3
+MAX_UPDATE_ATTEMPTS = 24
+MAX_ATTEMPTS_AT_ONCE = 4
+MAX_KNOWN_VERSIONS = 8192
+MAX_READ_ATTEMPTS = 3
 RETRY_AFTER_S = 1.0
 _MAY_HAVE = "the write may have taken effect"
 _HAS_NOT = "nothing was written"
 
 
 def may_have_taken_effect(failure: Failure) -> bool:
-    """Whether a write that ended in this failure may stand in the store."""
+    """Return whether a write with this failure may have taken effect."""
     return failure.kind is ErrorKind.STORE_UNAVAILABLE and _MAY_HAVE in failure.detail
 
 
@@ -54,10 +54,10 @@
 
 
 class ObjectStore(WatchSource):
-    """A client of the object API; ``HttpObjectStore`` and ``MemoryStore`` are such.
+    """Base class of the clients ``HttpObjectStore`` and ``MemoryStore``.
 
     Subclasses implement ``_get``, ``_put``, ``_delete``, ``_list`` and
-    ``open_watch``; this class adds what makes their answers safe.
+    ``open_watch``; this class makes their answers reliable.
     """
 
     def __init__(self, *, settings, timers, rng, events=None, metrics=None):
@@ -74,14 +74,14 @@
 
     @property
     def answered_at(self) -> float:
-        """When the last call that was answered was sent (``timers.now()``).
+        """When the last answered call was sent (``timers.now()``).
 
-        The sending counts, since the answer may be as old as that.
+        The time of sending is used, since the answer may date from then.
         """
         return self._answered_at
 
     def start(self) -> None:
-        """Start the part; a store needs nothing started."""
+        """Do nothing; a store needs no start."""
 
     async def stop(self) -> None:
         """End all watches."""
@@ -94,9 +94,9 @@
         on_event: Callable[[WatchEvent], None],
         on_synced: Callable[[], None] | None = None,
     ) -> Watch:
-        """Hand every object of a kind, and then every change, to ``on_event``.
+        """Call ``on_event`` for every object of a kind, then for every change.
 
-        ``on_synced`` is called each time after the kind was listed whole.
+        ``on_synced`` is called each time the kind has been listed completely.
         """
         watch = Watch(
             kind,
@@ -105,18 +105,18 @@
             source=self,
             timers=self._timers,
             rng=self._rng,
-            silent_s=self._settings["WATCH_SILENT_S"],
-            relist_s=self._settings["WATCH_RELIST_S"],
+            silence_timeout_s=self._settings["WATCH_SILENT_S"],
+            relist_interval_s=self._settings["WATCH_RELIST_S"],
         )
         self._watches.append(watch)
         return watch
 
     async def get(self, kind: str, name: str) -> Result[StoredObject | None, Failure]:
         """Read one object; None when there is none."""
-        for _ in range(STALE_TRIES):
+        for _ in range(MAX_READ_ATTEMPTS):
             sent_at = self._timers.now()
             known = self._versions.get((kind, name), 0)
-            got = self._note("get", sent_at, await self._get(kind, name))
+            got = self._record_call("get", sent_at, await self._get(kind, name))
             if got.is_err():
                 return got
             if self._is_current(kind, name, known, got.ok_value):
@@ -128,21 +128,25 @@
     ) -> Result[StoredObject, Failure]:
         """Write one object if it still has ``version`` (None: does not exist)."""
         sent_at = self._timers.now()
-        put = self._note("put", sent_at, await self._put(kind, name, value, version))
+        put = self._record_call(
+            "put", sent_at, await self._put(kind, name, value, version)
+        )
         if put.is_ok():
-            self._remember(kind, name, put.ok_value.version)
+            self._record_version(kind, name, put.ok_value.version)
         return put
 
     async def delete(self, kind: str, name: str, version: int) -> Result[None, Failure]:
         """Delete one object if it still has ``version``."""
         sent_at = self._timers.now()
-        return self._note("delete", sent_at, await self._delete(kind, name, version))
+        return self._record_call(
+            "delete", sent_at, await self._delete(kind, name, version)
+        )
 
     async def list(self, kind: str) -> Result[StoreList, Failure]:
         """Read all objects of a kind."""
-        for _ in range(STALE_TRIES):
+        for _ in range(MAX_READ_ATTEMPTS):
             sent_at = self._timers.now()
-            listed = self._note("list", sent_at, await self._list(kind))
+            listed = self._record_call("list", sent_at, await self._list(kind))
             if listed.is_err():
                 return listed
             version = listed.ok_value.version
@@ -154,46 +158,46 @@
     async def update(
         self, kind: str, name: str, change: Change
     ) -> Result[StoredObject, Failure]:
-        """Read, change and write an object until the write is known to stand.
+        """Read, change and write an object until the write is known to be effective.
 
         ``change`` gets the value (None: no such object) and returns the new one,
         or None when there is nothing to do; it may be called several times. The
-        answer is the object as stored. The change takes effect at most once.
+        result is the object as stored. The change takes effect at most once.
         """
         write_id = f"{self._settings['VM_NAME']}.{self._rng.getrandbits(64):016x}"
-        doubt = None
-        for attempt in range(UPDATE_TRIES):
+        uncertain = None
+        for attempt in range(MAX_UPDATE_ATTEMPTS):
             await self._wait_before(attempt)
             got = await self.get(kind, name)
             if got.is_err():
-                return Err(doubt.failure) if doubt else got
+                return Err(uncertain.failure) if uncertain else got
             current = got.ok_value
-            fate = fate_of(doubt, current) if doubt else Fate.FAILED
+            fate = fate_of(uncertain, current) if uncertain else Fate.FAILED
             if fate is Fate.STANDS:
                 return Ok(current)
             if fate is Fate.UNKNOWN:
-                return Err(doubt.failure)
+                return Err(uncertain.failure)
             if fate is Fate.FAILED:
-                doubt = None
+                uncertain = None
             value = change(copy.deepcopy(current.value) if current else None)
             if value is None:
                 return Ok(current or StoredObject(kind, name, 0, {}))
             tried = await self._try_write(current, kind, name, value, write_id)
-            if not isinstance(tried, Doubt):
+            if not isinstance(tried, UncertainWrite):
                 return tried
-            doubt = tried if may_have_taken_effect(tried.failure) else doubt
-        detail = f"{kind}/{name}: {UPDATE_TRIES} writes met another's"
+            uncertain = tried if may_have_taken_effect(tried.failure) else uncertain
+        detail = f"{kind}/{name}: {MAX_UPDATE_ATTEMPTS} writes met another's"
         failure = Failure(ErrorKind.VERSION_CONFLICT, detail, RETRY_AFTER_S)
-        return Err(doubt.failure if doubt else failure)
+        return Err(uncertain.failure if uncertain else failure)
 
     async def _try_write(
         self, current: StoredObject | None, kind, name, value, write_id
-    ) -> Result[StoredObject, Failure] | Doubt:
-        """Write once; a ``Doubt`` means that the object must be read again.
+    ) -> Result[StoredObject, Failure] | UncertainWrite:
+        """Write once; after an ``UncertainWrite`` the object must be read again.
 
-        The reply may have been lost after the write took effect: the next read
-        tells, by the write id. A write still under way takes effect only at the
-        version that it names, so of two tries at one version at most one does.
+        The reply may have been lost after the write took effect: the next read shows
+        it by the write id. A write still in transit takes effect only at the version
+        that it names, so at most one of two tries at the same version does.
         """
         version = current.version if current else None
         stamped = stamp(value, current, write_id)
@@ -203,10 +207,10 @@
         kept = (ErrorKind.STORE_UNAVAILABLE, ErrorKind.VERSION_CONFLICT)
         if put.err_value.kind not in kept:
             return put
-        return Doubt(put.err_value, write_id, version, stamped["write_number"])
+        return UncertainWrite(put.err_value, write_id, version, stamped["write_number"])
 
     async def _wait_before(self, attempt: int) -> None:
-        if attempt < TRIES_AT_ONCE:
+        if attempt < MAX_ATTEMPTS_AT_ONCE:
             return
         await self._timers.sleep(self._rng.uniform(0, 0.01 * attempt))
 
@@ -223,27 +227,27 @@
         raise NotImplementedError
 
     def _is_current(self, kind, name, known: int, got: StoredObject | None) -> bool:
-        """Whether an answer is at least as new as all that is known.
+        """Return whether an answer is at least as new as the known version.
 
-        A reply that was sent before another, and arrives after it, is older than
-        the version remembered meanwhile; it would move its reader back.
+        A reply that was sent before another but arrives after it is older than the
+        version recorded meanwhile. Returning it would show its reader older state.
         """
         remembered = self._versions.get((kind, name), 0)
         if got is None:
             return remembered == known
         if got.version < remembered:
             return False
-        self._remember(kind, name, got.version)
+        self._record_version(kind, name, got.version)
         return True
 
-    def _remember(self, kind: str, name: str, version: int) -> None:
+    def _record_version(self, kind: str, name: str, version: int) -> None:
         key = (kind, name)
         self._versions[key] = max(version, self._versions.get(key, 0))
         self._versions.move_to_end(key)
-        if len(self._versions) > VERSIONS_REMEMBERED:
+        if len(self._versions) > MAX_KNOWN_VERSIONS:
             self._versions.popitem(last=False)
 
-    def _note(self, call: str, sent_at: float, outcome: Result) -> Result:
+    def _record_call(self, call: str, sent_at: float, outcome: Result) -> Result:
         lost = (
             outcome.is_err() and outcome.err_value.kind is ErrorKind.STORE_UNAVAILABLE
         )
--- a/hawthornlead/stores/write_ids.py
+++ b/hawthornlead/stores/write_ids.py
@@ -1,8 +1,8 @@
-"""Write ids: how a writer that lost its reply recognises its own write.
+"""Write ids, by which a writer whose reply was lost recognizes its own write.
 
 Every value that ``ObjectStore.update`` writes carries the id of its write, its
-number in the object's history, and the ids of the writes before. The objects so
-written are not deleted and made anew, which would start the numbers again.
+number in the object's history, and the ids of earlier writes. Such objects must not
+be deleted and created again, which would restart the numbers.
 """
 
 from enum import Enum
@@ -11,12 +11,12 @@
 from ..errors import Failure
 from .stored_objects import StoredObject
 
-# A writer in doubt finds its id unless this many writes came between.
-WRITES_REMEMBERED = 16
+# A writer whose reply was lost finds its id unless this many writes came between.
+MAX_WRITE_IDS = 16
 
 
-class Doubt(NamedTuple):
-    """A write whose reply was lost: what it was conditional on, and its number."""
+class UncertainWrite(NamedTuple):
+    """A write whose reply was lost; ``version`` is the version it required."""
 
     failure: Failure
     write_id: str
@@ -25,7 +25,7 @@
 
 
 class Fate(Enum):
-    """What a later read of the object tells of a write in doubt."""
+    """What a later read of the object shows about an uncertain write."""
 
     STANDS = "took effect"
     OPEN = "has not taken effect yet"
@@ -42,21 +42,21 @@
         **value,
         "write_id": write_id,
         "write_number": old.get("write_number", 0) + 1,
-        "earlier_writes": earlier[: WRITES_REMEMBERED - 1],
+        "earlier_writes": earlier[: MAX_WRITE_IDS - 1],
     }
 
 
-def fate_of(doubt: Doubt, current: StoredObject | None) -> Fate:
-    """Tell what became of a write in doubt from the object as it is now."""
-    if (current and current.version) == doubt.version:
+def fate_of(uncertain: UncertainWrite, current: StoredObject | None) -> Fate:
+    """Determine from the current object whether an uncertain write took effect."""
+    if (current and current.version) == uncertain.version:
         return Fate.OPEN
     if current is None:
         return Fate.UNKNOWN
     remembered = [current.value.get("write_id")]
     remembered += current.value.get("earlier_writes", [])
-    if doubt.write_id in remembered:
+    if uncertain.write_id in remembered:
         return Fate.STANDS
     newest = current.value.get("write_number", 0)
-    if newest - len(remembered) < doubt.number <= newest:
+    if newest - len(remembered) < uncertain.number <= newest:
         return Fate.FAILED
     return Fate.UNKNOWN
--- a/hawthornlead/tests/test_stores.py
+++ b/hawthornlead/tests/test_stores.py
@@ -191,8 +191,8 @@
     await store.delete("k", "a", new.version)
     await timers.advance(0)
     seen = list(follower.seen)
-    store.objects._tell("k", "put", old)
-    store.objects._tell("k", "put", new)
+    store.objects._publish("k", "put", old)
+    store.objects._publish("k", "put", new)
     await timers.advance(0)
     assert follower.seen == seen
 
@@ -211,8 +211,8 @@
     await timers.advance(5)
     assert follower.synced == 2
     seen = list(follower.seen)
-    follower.watch._take_list(StoreList(first.version, (first,)))
-    store.objects._tell("k", "put", second)
+    follower.watch._apply_list(StoreList(first.version, (first,)))
+    store.objects._publish("k", "put", second)
     await timers.advance(0)
     assert follower.seen == seen
 
