--- a/hawthornlead/bundles/bundle_checks.py
+++ b/hawthornlead/bundles/bundle_checks.py
@@ -96,7 +96,7 @@
         self.services: set[str] = set()
         self.tokens: dict[str, str] = {}
 
-    def fault(self, path: str, found: Any, allowed: str) -> None:
+    def add_fault(self, path: str, found: Any, allowed: str) -> None:
         """Note one fault."""
         text = "nothing" if found is _MISSING else repr(found)
         if len(text) > 80:
@@ -106,11 +106,11 @@
     def table(self, value: Any, path: str, keys: tuple[str, ...]) -> bool:
         """Check that a value is an object without unknown keys."""
         if not isinstance(value, dict):
-            self.fault(path, value, "an object")
+            self.add_fault(path, value, "an object")
             return False
         for key in value:
             if key not in keys:
-                self.fault(_join(path, str(key)), "an unknown key", ", ".join(keys))
+                self.add_fault(_join(path, str(key)), "an unknown key", ", ".join(keys))
         return True
 
     def rows(self, table: dict, key: str, path: str) -> list:
@@ -118,7 +118,7 @@
         value = table.get(key, [])
         if isinstance(value, list):
             return value
-        self.fault(_join(path, key), value, "a list")
+        self.add_fault(_join(path, key), value, "a list")
         return []
 
     def name(self, table: dict, key: str, path: str) -> str:
@@ -127,7 +127,7 @@
         if isinstance(value, str) and _NAME.fullmatch(value):
             return value
         allowed = f"a name of 1 to {MAX_NAME} letters, digits, '._/@+-'"
-        self.fault(_join(path, key), value, allowed)
+        self.add_fault(_join(path, key), value, allowed)
         return ""
 
     def number(self, table: dict, key: str, path: str, bounds, whole: bool) -> None:
@@ -139,7 +139,7 @@
         if fits and low <= value <= high:
             return
         kind = "a whole number" if whole else "a number"
-        self.fault(_join(path, key), value, f"{kind} from {low} to {high}")
+        self.add_fault(_join(path, key), value, f"{kind} from {low} to {high}")
 
 
 def check_document(document: Any) -> list[BundleFault]:
@@ -149,7 +149,7 @@
         return checker.faults
     checker.name(document, "name", "")
     if not isinstance(document.get("note", ""), str):
-        checker.fault("note", document["note"], "a text")
+        checker.add_fault("note", document["note"], "a text")
     for number, row in enumerate(checker.rows(document, "adapters", "")):
         _check_adapter(checker, row, f"adapters[{number}]")
     for number, row in enumerate(checker.rows(document, "services", "")):
@@ -167,7 +167,7 @@
     version = checker.name(row, "version", path)
     checker.name(row, "base_model", path)
     if (adapter, version) in checker.adapters:
-        checker.fault(path, f"{adapter} {version} again", "each version once")
+        checker.add_fault(path, f"{adapter} {version} again", "each version once")
     checker.adapters.add((adapter, version))
 
 
@@ -176,7 +176,7 @@
         return
     name = checker.name(row, "name", path)
     if name in checker.services:
-        checker.fault(_join(path, "name"), name, "each service once")
+        checker.add_fault(_join(path, "name"), name, "each service once")
     checker.services.add(name)
     calls: set[tuple[str, str]] = set()
     for number, call in enumerate(checker.rows(row, "calls", path)):
@@ -188,17 +188,17 @@
         return
     method = call.get("method", _MISSING)
     if method not in _METHODS:
-        checker.fault(_join(path, "method"), method, ", ".join(_METHODS))
+        checker.add_fault(_join(path, "method"), method, ", ".join(_METHODS))
     prefix = call.get("path", _MISSING)
     if not isinstance(prefix, str) or not is_plain_path(prefix):
         allowed = "a path from '/', without '..', '//' or '%'"
-        checker.fault(_join(path, "path"), prefix, allowed)
+        checker.add_fault(_join(path, "path"), prefix, allowed)
     if not isinstance(call.get("repeatable", _MISSING), bool):
         found = call.get("repeatable", _MISSING)
-        checker.fault(_join(path, "repeatable"), found, "true or false")
+        checker.add_fault(_join(path, "repeatable"), found, "true or false")
     key = (str(method), str(prefix))
     if key in calls:
-        checker.fault(path, f"{method} {prefix} again", "each call once")
+        checker.add_fault(path, f"{method} {prefix} again", "each call once")
     calls.add(key)
 
 
@@ -207,7 +207,7 @@
         return
     name = checker.name(row, "name", path)
     if name and name in names:
-        checker.fault(_join(path, "name"), name, "each caller once")
+        checker.add_fault(_join(path, "name"), name, "each caller once")
     names.add(name)
     _check_tokens(checker, row, path, name)
     checker.number(row, "priority", path, (0, MAX_PRIORITY), True)
@@ -216,34 +216,34 @@
     checker.number(row, "concurrency", path, (1, MAX_RATE), True)
     aliases = row.get("aliases", {})
     if not isinstance(aliases, dict):
-        checker.fault(_join(path, "aliases"), aliases, "an object")
+        checker.add_fault(_join(path, "aliases"), aliases, "an object")
         aliases = {}
     for alias, target in aliases.items():
         _check_alias(checker, alias, target, f"{path}.aliases.{alias}")
     for number, service in enumerate(checker.rows(row, "services", path)):
         if not isinstance(service, str) or service not in checker.services:
             allowed = "a service of this bundle"
-            checker.fault(f"{path}.services[{number}]", service, allowed)
+            checker.add_fault(f"{path}.services[{number}]", service, allowed)
 
 
 def _check_tokens(checker: _Checker, row: dict, path: str, name: str) -> None:
     hashes = checker.rows(row, "token_sha256", path)
     if not hashes:
-        checker.fault(_join(path, "token_sha256"), "none", "one or more")
+        checker.add_fault(_join(path, "token_sha256"), "none", "one or more")
     for number, text in enumerate(hashes):
         where = f"{path}.token_sha256[{number}]"
         if not isinstance(text, str) or not _SHA256.fullmatch(text):
-            checker.fault(where, text, "64 hexadecimal digits in lower case")
+            checker.add_fault(where, text, "64 hexadecimal digits in lower case")
             continue
         if text in checker.tokens:
             other = checker.tokens[text]
-            checker.fault(where, f"the token of {other}", "a token of one caller")
+            checker.add_fault(where, f"the token of {other}", "a token of one caller")
         checker.tokens[text] = name
 
 
 def _check_alias(checker: _Checker, alias: str, target: Any, path: str) -> None:
     if not _NAME.fullmatch(alias):
-        checker.fault(path, alias, "a name")
+        checker.add_fault(path, alias, "a name")
     if not checker.table(target, path, tuple(AliasDocument.__annotations__)):
         return
     adapter = checker.name(target, "adapter", path)
@@ -251,7 +251,7 @@
     if not adapter or not version:
         return
     if (adapter, version) not in checker.adapters:
-        checker.fault(path, f"{adapter} {version}", "a row of adapters")
+        checker.add_fault(path, f"{adapter} {version}", "a row of adapters")
 
 
 def is_plain_path(path: str) -> bool:
--- a/hawthornlead/bundles/bundle_diffs.py
+++ b/hawthornlead/bundles/bundle_diffs.py
@@ -93,11 +93,11 @@
         old_calls = set(before.get(name, ()))
         new_calls = set(new.services[name])
         for call in sorted(new_calls - old_calls):
-            yield Change("+", f"service {name}: {_call(call)}")
+            yield Change("+", f"service {name}: {_describe_call(call)}")
         for call in sorted(old_calls - new_calls):
-            yield Change("-", f"service {name}: {_call(call)}")
+            yield Change("-", f"service {name}: {_describe_call(call)}")
 
 
-def _call(call) -> str:
-    word = "repeatable" if call.repeatable else "not repeatable"
-    return f"{call.method} {call.path} {word}"
+def _describe_call(call) -> str:
+    repeatability = "repeatable" if call.repeatable else "not repeatable"
+    return f"{call.method} {call.path} {repeatability}"
--- a/hawthornlead/bundles/bundle_freshness.py
+++ b/hawthornlead/bundles/bundle_freshness.py
@@ -47,22 +47,25 @@
         self._incarnation = incarnation
         self._accepting_seq = 0
         self._acknowledged = Acknowledged(0, NEVER)
-        self._joined_as = ""
+        self._joined_incarnation = ""
         self._contact_at = NEVER
 
     @property
     def _joined(self) -> bool:
-        return self._joined_as != "" and self._joined_as == self._leases.incarnation
+        return (
+            self._joined_incarnation != ""
+            and self._joined_incarnation == self._leases.incarnation
+        )
 
-    def contact(self, asked_at: float) -> None:
-        """Note that the store or another VM answered a question of ``asked_at``."""
-        self._contact_at = max(self._contact_at, asked_at)
+    def record_contact(self, requested_at: float) -> None:
+        """Note that the store or another VM answered a question of ``requested_at``."""
+        self._contact_at = max(self._contact_at, requested_at)
 
-    def join(self, incarnation: str) -> None:
+    def record_join(self, incarnation: str) -> None:
         """Note that the pointer was read after this incarnation was registered."""
-        self._joined_as = incarnation
+        self._joined_incarnation = incarnation
 
-    def acknowledge(self, seq: int, received_at: float) -> None:
+    def record_acknowledgement(self, seq: int, received_at: float) -> None:
         """Note that this VM is first asked to acknowledge a stage, at a moment.
 
         The stage can't be accepted without this VM's first acknowledgement, which is
@@ -71,7 +74,7 @@
         """
         self._acknowledged = Acknowledged(seq, received_at)
 
-    def begin_accepting(self, seq: int, now: float) -> None:
+    def mark_accepting(self, seq: int, now: float) -> None:
         """Note that the write which accepts a stage is about to be sent.
 
         From here on this VM no longer vouches that the stage is not accepted:
@@ -108,7 +111,7 @@
             return Failure(ErrorKind.ISOLATED, detail, 1.0)
         return None
 
-    def wants_read(self, now: float) -> bool:
+    def requires_read(self, now: float) -> bool:
         """Whether this VM should read the store itself, before it must refuse."""
         if not self._joined:
             return True
@@ -116,7 +119,7 @@
             return True
         return now - self._undecided_at(now) > OWN_READ_SHARE * self._doubt_s
 
-    def vouched_at(self, now: float) -> float:
+    def confirmed_undecided_at(self, now: float) -> float:
         """Return when the staged bundle was surely not accepted yet.
 
         Only the process that staged it can accept it, so that this process itself
@@ -134,8 +137,8 @@
 
     def _undecided_at(self, now: float) -> float:
         """Return when the staged bundle was not accepted yet, for this VM's own use."""
-        vouched_at = self.vouched_at(now)
+        confirmed_undecided_at = self.confirmed_undecided_at(now)
         staged = self._knowledge.staged
         if self._acknowledged.seq == (staged.seq if staged else 0):
-            return max(vouched_at, self._acknowledged.at)
-        return vouched_at
+            return max(confirmed_undecided_at, self._acknowledged.at)
+        return confirmed_undecided_at
--- a/hawthornlead/bundles/bundle_knowledge.py
+++ b/hawthornlead/bundles/bundle_knowledge.py
@@ -13,7 +13,7 @@
 NEVER = float("-inf")
 
 
-class Told(NamedTuple):
+class BundleReport(NamedTuple):
     """What one source tells.
 
     ``confirmed_at`` is a moment, by this VM's clock, at which the staged bundle
@@ -27,15 +27,15 @@
     confirmed_at: float = NEVER
 
 
-def told_by_pointer(pointer: Pointer, read_at: float) -> Told:
+def report_from_pointer(pointer: Pointer, read_at: float) -> BundleReport:
     """Return what a read of the store tells that was begun at ``read_at``."""
-    return Told(
+    return BundleReport(
         pointer.seq, pointer.digest, pointer.decided_seq, pointer.staged, read_at
     )
 
 
-def told_by_peer(reply: BundlePointer, asked_at: float) -> Told:
-    """Return what a VM tells that was asked at ``asked_at``.
+def report_from_peer(reply: BundlePointer, requested_at: float) -> BundleReport:
+    """Return what a VM tells that was asked at ``requested_at``.
 
     Guards against old answers that waited in a socket and prolong the service of a
     replaced bundle (BUN-4). The age counts from its reply, which is later than the
@@ -49,8 +49,10 @@
             reply.staged_vm,
             reply.staged_incarnation,
         )
-    confirmed_at = asked_at - reply.age_s if reply.age_s >= 0 else NEVER
-    return Told(reply.seq, reply.digest, reply.decided_seq, staged, confirmed_at)
+    confirmed_at = requested_at - reply.age_s if reply.age_s >= 0 else NEVER
+    return BundleReport(
+        reply.seq, reply.digest, reply.decided_seq, staged, confirmed_at
+    )
 
 
 class BundleKnowledge:
@@ -94,25 +96,25 @@
         """The last moment at which the staged bundle was surely not accepted."""
         return self._confirmed_at
 
-    def merge(self, told: Told, now: float) -> None:
+    def merge(self, report: BundleReport, now: float) -> None:
         """Take in what a source tells."""
         # Guards against late words that bring back an older bundle (BUN-3): seen
         # from outside, a version that was replaced answers again. Numbers only grow.
-        if told.seq > self._seq:
-            self._seq, self._digest = told.seq, told.digest
-        self._decided_seq = max(self._decided_seq, told.decided_seq, told.seq)
-        staged = told.staged
+        if report.seq > self._seq:
+            self._seq, self._digest = report.seq, report.digest
+        self._decided_seq = max(self._decided_seq, report.decided_seq, report.seq)
+        staged = report.staged
         if staged is not None and staged.seq > self._decided_seq:
             if self._staged is None or staged.seq > self._staged.seq:
                 # A stage begins only when all before it are decided. Whoever tells
-                # of it tells, in ``told.seq``, what was in force when it began: else
+                # of it tells, in ``report.seq``, what was in force when it began: else
                 # the new doubt would hide that an earlier stage was accepted, and
                 # proof on this one would make an old bundle served (BUN-14).
                 self._decided_seq = staged.seq - 1
                 self._staged, self._staged_at = staged, now
                 self._confirmed_at = NEVER
             if staged.seq == self._staged.seq:
-                self.confirm(staged.seq, told.confirmed_at)
+                self.confirm(staged.seq, report.confirmed_at)
         if self._staged is not None and self._staged.seq <= self._decided_seq:
             self._staged = None
             self._confirmed_at = NEVER
@@ -122,7 +124,7 @@
         if self._staged is not None and self._staged.seq == seq:
             self._confirmed_at = max(self._confirmed_at, at)
 
-    def abandoned(self, seq: int) -> None:
+    def mark_abandoned(self, seq: int) -> None:
         """Take in that the staged bundle was abandoned.
 
         Of another stage than the one known here the word says nothing about what
--- a/hawthornlead/bundles/bundle_libraries.py
+++ b/hawthornlead/bundles/bundle_libraries.py
@@ -31,7 +31,7 @@
 RELEASE_KIND = "bundle-release"
 # A release is asked from VMs like a chunk, under this prefix and its digest.
 RELEASE_PREFIX = "release:"
-FETCHES_AT_ONCE = 8
+MAX_CONCURRENT_FETCHES = 8
 
 
 class Release(NamedTuple):
@@ -60,17 +60,17 @@
         self._keys = keys
         self._chunks: dict[str, BundleChunk] = {}
         self._releases: dict[str, bytes] = {}
-        self._held: dict[str, Bundle] = {}
+        self._bundles: dict[str, Bundle] = {}
         self._fetching: dict[str, asyncio.Task] = {}
-        self._at_once = asyncio.Semaphore(FETCHES_AT_ONCE)
-        mesh.on(FetchChunk, self._answer_chunk)
+        self._fetch_slots = asyncio.Semaphore(MAX_CONCURRENT_FETCHES)
+        mesh.on(FetchChunk, self._on_fetch_chunk)
 
     @property
     def keys(self) -> OperatorKeys:
         """The public keys of the operators."""
         return self._keys
 
-    def helper(self) -> str:
+    def designated_fetcher(self) -> str:
         """Name the VM of this data centre that fetches for the others.
 
         Two VMs that differ about it cost a few reads more, nothing else.
@@ -88,23 +88,23 @@
 
         ``sources`` name VMs that are likely to hold it. The store comes last.
         """
-        asked = self._sources(sources)
-        release = await self._load_release(digest, asked)
+        source_vms = self._sources(sources)
+        release = await self._load_release(digest, source_vms)
         if release.is_err():
             return release
-        bundle = self._held.get(digest)
+        bundle = self._bundles.get(digest)
         if bundle is not None:
             return Ok(Released(bundle, release.unwrap()))
-        assembled = await self._load_bundle(digest, asked)
+        assembled = await self._load_bundle(digest, source_vms)
         return assembled.map(lambda found: Released(found, release.unwrap()))
 
-    def keep_only(self, digests: Iterable[str]) -> None:
+    def evict_except(self, digests: Iterable[str]) -> None:
         """Forget all bundles but these."""
-        wanted = set(digests)
-        self._held = {d: b for d, b in self._held.items() if d in wanted}
-        self._releases = {d: r for d, r in self._releases.items() if d in wanted}
-        needed = set(self._held)
-        for bundle in self._held.values():
+        required = set(digests)
+        self._bundles = {d: b for d, b in self._bundles.items() if d in required}
+        self._releases = {d: r for d, r in self._releases.items() if d in required}
+        needed = set(self._bundles)
+        for bundle in self._bundles.values():
             needed.update(bundle.parts)
         self._chunks = {d: c for d, c in self._chunks.items() if d in needed}
 
@@ -166,7 +166,7 @@
         valid = self._keys.verify_release(release.prepared, approved, digest)
         if valid.is_err():
             return valid
-        return await self._add(digest, "approved", approved)
+        return await self._add_signature(digest, "approved", approved)
 
     async def retire(self, retired: SignedStatement) -> Result[None, Failure]:
         """Take in the order that a bundle must not be rolled any more."""
@@ -174,7 +174,7 @@
         known = self._keys.verify(retired, Purpose.RETIRE, digest)
         if known.is_err():
             return known
-        return await self._add(digest, "retired", retired)
+        return await self._add_signature(digest, "retired", retired)
 
     async def released_from_store(self, digest: str) -> Result[Released, Failure]:
         """Load a bundle with its signatures as the store has them now.
@@ -198,9 +198,9 @@
 
     def _sources(self, sources: Iterable[str]) -> tuple[str, ...]:
         named = list(dict.fromkeys(sources))
-        helper = self.helper()
-        if helper != self._vm:
-            named.insert(0, helper)
+        fetcher = self.designated_fetcher()
+        if fetcher != self._vm:
+            named.insert(0, fetcher)
         return tuple(vm for vm in dict.fromkeys(named) if vm != self._vm)
 
     async def _load_release(
@@ -242,28 +242,30 @@
     async def _load_bundle(
         self, digest: str, sources: tuple[str, ...]
     ) -> Result[Bundle, Failure]:
-        manifest = await self._get(digest, sources)
+        manifest = await self._get_chunk(digest, sources)
         if manifest.is_err():
             return manifest
         read = read_manifest(manifest.unwrap())
         if read.is_err():
             return read
-        earlier = list(self._held.values())
-        wanted = []
+        earlier = list(self._bundles.values())
+        required = []
         for part in read.unwrap().parts.values():
             if not any(bundle.holds_part(part) for bundle in earlier):
-                wanted.append(part)
-        fetched = await asyncio.gather(*(self._get(part, sources) for part in wanted))
+                required.append(part)
+        fetched = await asyncio.gather(
+            *(self._get_chunk(part, sources) for part in required)
+        )
         for outcome in fetched:
             if outcome.is_err():
                 return outcome
         chunks = {outcome.unwrap().digest: outcome.unwrap() for outcome in fetched}
         assembled = Bundle.assemble(manifest.unwrap(), chunks, earlier)
         if assembled.is_ok():
-            self._held[digest] = assembled.unwrap()
+            self._bundles[digest] = assembled.unwrap()
         return assembled
 
-    async def _get(
+    async def _get_chunk(
         self, digest: str, sources: tuple[str, ...]
     ) -> Result[BundleChunk, Failure]:
         """Return a chunk; several askers at once share one fetch."""
@@ -280,7 +282,7 @@
     async def _fetch(
         self, digest: str, sources: tuple[str, ...]
     ) -> Result[BundleChunk, Failure]:
-        async with self._at_once:
+        async with self._fetch_slots:
             for vm in sources:
                 reply = await self._mesh.call(vm, FetchChunk(digest))
                 if reply.is_err() or not isinstance(reply.unwrap(), Chunk):
@@ -306,7 +308,7 @@
         self._chunks[digest] = chunk
         return Ok(chunk)
 
-    async def _answer_chunk(self, sender, message: FetchChunk):
+    async def _on_fetch_chunk(self, sender, message: FetchChunk):
         digest = message.digest
         if digest.startswith(RELEASE_PREFIX):
             content = self._releases.get(digest.removeprefix(RELEASE_PREFIX))
@@ -314,8 +316,11 @@
                 return Chunk(digest, content)
         elif digest in self._chunks:
             return Chunk(digest, self._chunks[digest].content)
-        elif self.helper() == self._vm and sender.data_centre == self._data_centre:
-            got = await self._get(digest, ())
+        elif (
+            self.designated_fetcher() == self._vm
+            and sender.data_centre == self._data_centre
+        ):
+            got = await self._get_chunk(digest, ())
             if got.is_ok():
                 return Chunk(digest, got.unwrap().content)
         return failed(Failure(ErrorKind.NOT_FOUND, f"{self._vm} lacks {digest[:24]}"))
@@ -331,7 +336,7 @@
             return Err(Failure(ErrorKind.NOT_FOUND, detail))
         return _read_release(json.dumps(got.unwrap().value).encode())
 
-    async def _add(
+    async def _add_signature(
         self, digest: str, key: str, signed: SignedStatement
     ) -> Result[None, Failure]:
         absent = False
--- a/hawthornlead/bundles/bundle_pointers.py
+++ b/hawthornlead/bundles/bundle_pointers.py
@@ -11,7 +11,7 @@
 
 POINTER_KIND = "bundle"
 POINTER_NAME = "pointer"
-ROLLS_REMEMBERED = 50
+MAX_PAST_ROLLS = 50
 
 
 class Stage(NamedTuple):
@@ -53,7 +53,7 @@
         """Every stage up to this one was accepted or abandoned."""
         return self.staged.seq - 1 if self.staged else self.last_seq
 
-    def ended(self, order_id: str) -> PastRoll | None:
+    def past_roll(self, order_id: str) -> PastRoll | None:
         """Return how an order ended, None when it is not remembered."""
         for roll in self.past:
             if roll.order_id == order_id:
@@ -68,21 +68,21 @@
 
     def without_stage(self) -> "Pointer":
         """Abandon the staged bundle."""
-        return self._end(accepted=False, waived=())
+        return self._finish_stage(accepted=False, waived=())
 
     def with_accepted(self, waived: tuple[str, ...] = ()) -> "Pointer":
         """Put the staged bundle in force."""
-        ended = self._end(accepted=True, waived=waived)
+        ended = self._finish_stage(accepted=True, waived=waived)
         return ended._replace(seq=self.staged.seq, digest=self.staged.digest)
 
-    def _end(self, accepted: bool, waived: tuple[str, ...]) -> "Pointer":
+    def _finish_stage(self, accepted: bool, waived: tuple[str, ...]) -> "Pointer":
         if self.staged is None:
             return self
         stage = self.staged
         roll = PastRoll(
             stage.seq, stage.digest, stage.order_id, stage.operator, accepted, waived
         )
-        past = (roll, *self.past)[:ROLLS_REMEMBERED]
+        past = (roll, *self.past)[:MAX_PAST_ROLLS]
         return self._replace(staged=None, past=past)
 
 
--- a/hawthornlead/bundles/bundles.py
+++ b/hawthornlead/bundles/bundles.py
@@ -37,7 +37,7 @@
     split_document,
 )
 
-MAX_FAULTS_TOLD = 50
+MAX_FAULTS_SHOWN = 50
 
 
 class Assignment(NamedTuple):
@@ -207,7 +207,7 @@
         plain = path.partition("?")[0]
         best: ServiceRule | None = None
         for call in self._services[service]:
-            if call.method != method.upper() or not _below(plain, call.path):
+            if call.method != method.upper() or not _is_below(plain, call.path):
                 continue
             if best is None or len(call.path) > len(best.path):
                 best = call
@@ -231,11 +231,11 @@
     """Check a document and split it into chunks."""
     faults = check_document(document)
     if faults:
-        told = "\n".join(str(fault) for fault in faults[:MAX_FAULTS_TOLD])
-        more = len(faults) - MAX_FAULTS_TOLD
+        listing = "\n".join(str(fault) for fault in faults[:MAX_FAULTS_SHOWN])
+        more = len(faults) - MAX_FAULTS_SHOWN
         if more > 0:
-            told += f"\nand {more} more"
-        return bad_bundle(told)
+            listing += f"\nand {more} more"
+        return bad_bundle(listing)
     sections = split_document(document)
     packed = {key: pack(canonical(rows)) for key, rows in sections.items()}
     manifest = pack(
@@ -264,5 +264,5 @@
     return hashlib.sha256(token.encode(errors="surrogateescape")).hexdigest()
 
 
-def _below(path: str, prefix: str) -> bool:
+def _is_below(path: str, prefix: str) -> bool:
     return path == prefix or path.startswith(prefix.rstrip("/") + "/")
--- a/hawthornlead/bundles/roll_words.py
+++ b/hawthornlead/bundles/roll_acknowledgements.py
@@ -15,10 +15,10 @@
 
 # A VM that has not acknowledged is asked again after this share of the longest
 # wait.
-ASK_AGAIN_SHARE = 0.08
+RETRY_INTERVAL_SHARE = 0.08
 
 
-class Words(NamedTuple):
+class Acknowledgements(NamedTuple):
     """Who acknowledged a stage, is proved gone, is waived; who else is silent.
 
     ``silent`` maps the name of a VM to a sentence on why there is no word.
@@ -30,12 +30,12 @@
     silent: dict[str, str]
 
 
-class WordGatherer:
+class AcknowledgementCollector:
     """Asks the VMs for their words on a stage."""
 
     def __init__(self, *, settings, timers, store, mesh, members):
         self._acknowledge_s = settings["ACKNOWLEDGE_S"]
-        self._again_s = ASK_AGAIN_SHARE * settings["ACKNOWLEDGE_S"]
+        self._retry_interval_s = RETRY_INTERVAL_SHARE * settings["ACKNOWLEDGE_S"]
         self._timers = timers
         self._store = store
         self._mesh = mesh
@@ -43,7 +43,7 @@
 
     async def gather(
         self, pointer: Pointer, waivable: Collection[str]
-    ) -> Result[Words, Failure]:
+    ) -> Result[Acknowledgements, Failure]:
         """Ask every registered VM that is not proved gone.
 
         ``waivable`` names VMs and data centres without whose word it goes.
@@ -58,26 +58,31 @@
         entries: dict[str, list[Registration]] = defaultdict(list)
         for entry in listed.unwrap():
             entries[entry.vm].append(entry)
-        waived, gone, wanted = [], [], []
+        waived, gone, required = [], [], []
         for vm in sorted(entries):
             if all(self._is_gone(entry) for entry in entries[vm]):
                 gone.append(vm)
             else:
-                wanted.append(vm)
-        words = await asyncio.gather(
-            *(self._word(vm, entries[vm], pointer) for vm in wanted)
+                required.append(vm)
+        replies = await asyncio.gather(
+            *(
+                self._request_acknowledgement(vm, entries[vm], pointer)
+                for vm in required
+            )
         )
         acknowledged, silent = [], {}
-        for vm, word in zip(wanted, words, strict=True):
+        for vm, reply in zip(required, replies, strict=True):
             names = {vm, *(entry.data_centre for entry in entries[vm])}
-            if word.is_ok():
-                (acknowledged if word.unwrap() else gone).append(vm)
+            if reply.is_ok():
+                (acknowledged if reply.unwrap() else gone).append(vm)
             elif names & set(waivable):
                 waived.append(vm)
             else:
                 data_centre = entries[vm][0].data_centre
-                silent[vm] = f"{vm} ({data_centre}): {word.unwrap_err().detail}"
-        return Ok(Words(tuple(acknowledged), tuple(gone), tuple(waived), silent))
+                silent[vm] = f"{vm} ({data_centre}): {reply.unwrap_err().detail}"
+        return Ok(
+            Acknowledgements(tuple(acknowledged), tuple(gone), tuple(waived), silent)
+        )
 
     def _is_gone(self, entry: Registration) -> bool:
         # A process that registered anew after its lease lapsed has two names. Proof
@@ -86,7 +91,7 @@
         process = process_of(entry.incarnation)
         return self._members.proof_gone(entry.vm, process) is not None
 
-    async def _word(
+    async def _request_acknowledgement(
         self, vm: str, entries: list[Registration], pointer: Pointer
     ) -> Result[bool, Failure]:
         """Return True for a VM's word, False when it is proved gone meanwhile."""
@@ -104,19 +109,19 @@
             left = until - self._timers.now()
             wait_s = min(left, self._acknowledge_s / 3)
             reply = await self._mesh.call(vm, message, timeout_s=wait_s)
-            if reply.is_ok() and _is_word(reply.unwrap(), vm, stage):
+            if reply.is_ok() and _is_acknowledgement(reply.unwrap(), vm, stage):
                 return Ok(True)
             if all(self._is_gone(entry) for entry in entries):
                 return Ok(False)
-            if self._timers.now() + self._again_s >= until:
+            if self._timers.now() + self._retry_interval_s >= until:
                 break
-            await self._timers.sleep(self._again_s)
+            await self._timers.sleep(self._retry_interval_s)
         if reply.is_ok():
             return Err(Failure(ErrorKind.BAD_MESSAGE, "not a word on this stage"))
         return reply
 
 
-def _is_word(reply, vm: str, stage: Stage) -> bool:
+def _is_acknowledgement(reply, vm: str, stage: Stage) -> bool:
     if not isinstance(reply, StagedBundle):
         return False
     return (reply.vm, reply.seq, reply.digest) == (vm, stage.seq, stage.digest)
--- a/hawthornlead/bundles/roll_orders.py
+++ b/hawthornlead/bundles/roll_orders.py
@@ -16,7 +16,7 @@
 from ..messages import BundleDecided
 from ..signatures import Purpose, SignedStatement, Statement
 from .bundle_diffs import diff
-from .bundle_knowledge import told_by_pointer
+from .bundle_knowledge import report_from_pointer
 from .bundle_pointers import (
     POINTER_KIND,
     POINTER_NAME,
@@ -26,9 +26,9 @@
     pointer_document,
     read_pointer,
 )
-from .roll_words import WordGatherer, Words
+from .roll_acknowledgements import AcknowledgementCollector, Acknowledgements
 
-CHANGES_TOLD = 20
+MAX_CHANGES_SHOWN = 20
 
 
 class RollOutcome(NamedTuple):
@@ -77,7 +77,7 @@
         self._metrics = core.metrics
         self._store = store
         self._mesh = mesh
-        self._words = WordGatherer(
+        self._collector = AcknowledgementCollector(
             settings=core.settings,
             timers=core.timers,
             store=store,
@@ -90,12 +90,12 @@
 
     async def roll(self, order: SignedStatement) -> Result[RollOutcome, Failure]:
         """Carry out one signed order to roll a bundle."""
-        valid = self._valid(order)
+        valid = self._verify(order)
         if valid.is_err():
             return valid
         statement = valid.unwrap()
         if statement.order_id in self._running:
-            return Err(_under_way(self._vm))
+            return Err(_in_progress(self._vm))
         self._events.emit(
             EventKind.ROLL_STARTED,
             statement.digest,
@@ -131,7 +131,7 @@
             return Err(Failure(ErrorKind.FORBIDDEN, detail))
         return await self._library.retire(order)
 
-    def _valid(self, order: SignedStatement) -> Result[Statement, Failure]:
+    def _verify(self, order: SignedStatement) -> Result[Statement, Failure]:
         purpose = Purpose.ROLL
         if order.statement.purpose == Purpose.WAIVE.value:
             purpose = Purpose.WAIVE
@@ -150,27 +150,27 @@
         loaded = await self._library.released_from_store(statement.digest)
         if loaded.is_err():
             return loaded
-        self._keeper.hold_loaded(loaded.unwrap().bundle)
+        self._keeper.cache_bundle(loaded.unwrap().bundle)
         staged = await self._stage(statement)
         if staged.is_err():
             return staged
         pointer = staged.unwrap()
         stage = pointer.staged
         if stage is None or stage.order_id != statement.order_id:
-            return self._told_before(pointer.ended(statement.order_id))
+            return self._past_outcome(pointer.past_roll(statement.order_id))
         started_at = self._timers.now()
-        words = await self._words.gather(pointer, statement.waived)
-        if words.is_err():
-            return await self._abandon(pointer.staged, words.unwrap_err())
-        if words.unwrap().silent:
-            failure = _not_accepted(words.unwrap().silent)
+        acknowledgements = await self._collector.gather(pointer, statement.waived)
+        if acknowledgements.is_err():
+            return await self._abandon(pointer.staged, acknowledgements.unwrap_err())
+        if acknowledgements.unwrap().silent:
+            failure = _not_accepted(acknowledgements.unwrap().silent)
             return await self._abandon(pointer.staged, failure)
-        outcome = await self._accept(pointer.staged, words.unwrap())
+        outcome = await self._accept(pointer.staged, acknowledgements.unwrap())
         if outcome.is_ok():
             self._metrics.acknowledgement.observe(self._timers.now() - started_at)
         return outcome
 
-    def _told_before(self, ended: PastRoll) -> Result[RollOutcome, Failure]:
+    def _past_outcome(self, ended: PastRoll) -> Result[RollOutcome, Failure]:
         # The operator sends an order again whose answer was lost: it is answered
         # by what became of it and not carried out a second time.
         if ended.accepted:
@@ -196,11 +196,11 @@
             refusal = None
             pointer = read_pointer(value)
             stage = pointer.staged
-            again = stage is not None and stage.order_id == statement.order_id
-            if pointer.ended(statement.order_id) is not None and not again:
+            is_repeat = stage is not None and stage.order_id == statement.order_id
+            if pointer.past_roll(statement.order_id) is not None and not is_repeat:
                 return None
             busy = stage is not None and self._is_alive(stage)
-            if again and stage.vm == self._vm:
+            if is_repeat and stage.vm == self._vm:
                 busy = False
             if pointer.seq != statement.expected_seq or busy:
                 refusal = pointer
@@ -222,10 +222,10 @@
         if refusal is not None:
             stage = refusal.staged
             if stage is not None and stage.order_id == statement.order_id:
-                return Err(_under_way(stage.vm))
+                return Err(_in_progress(stage.vm))
             return await self._conflict(refusal, statement.digest)
         pointer = read_pointer(written.unwrap().value or None)
-        self._keeper.take(told_by_pointer(pointer, sent_at))
+        self._keeper.apply_report(report_from_pointer(pointer, sent_at))
         return Ok(pointer)
 
     def _is_alive(self, stage: Stage) -> bool:
@@ -243,63 +243,73 @@
         )
 
     async def _conflict(
-        self, pointer: Pointer, wanted: str
+        self, pointer: Pointer, requested: str
     ) -> Result[Pointer, Failure]:
         if pointer.staged is not None:
             winner, stage = pointer.staged.digest, pointer.staged
-            told = f"is being rolled by {stage.operator} at {stage.vm}"
+            explanation = f"is being rolled by {stage.operator} at {stage.vm}"
         else:
             winner = pointer.digest
-            told = f"is in force as {pointer.seq}, rolled by {_roller_of(pointer)}"
+            explanation = (
+                f"is in force as {pointer.seq}, rolled by {_roller_of(pointer)}"
+            )
         lines = [
-            f"bundle {winner[:12]} {told}" if winner else "no bundle was rolled yet",
-            *await self._differences(winner, wanted),
+            f"bundle {winner[:12]} {explanation}"
+            if winner
+            else "no bundle was rolled yet",
+            *await self._differences(winner, requested),
         ]
         return Err(Failure(ErrorKind.ROLL_CONFLICT, "\n".join(lines)))
 
-    async def _differences(self, winner: str, wanted: str) -> list[str]:
-        if winner == wanted:
+    async def _differences(self, winner: str, requested: str) -> list[str]:
+        if winner == requested:
             return ["it is the same bundle"]
-        ours = await self._library.load(wanted)
+        ours = await self._library.load(requested)
         theirs = await self._library.load(winner) if winner else None
         if ours.is_err() or (theirs is not None and theirs.is_err()):
             return []
         old = theirs.unwrap().bundle if theirs is not None else None
         changes = [str(change) for change in diff(old, ours.unwrap().bundle)]
-        lines = ["what yours would change in it:", *changes[:CHANGES_TOLD]]
-        if len(changes) > CHANGES_TOLD:
-            lines.append(f"and {len(changes) - CHANGES_TOLD} more")
+        lines = ["what yours would change in it:", *changes[:MAX_CHANGES_SHOWN]]
+        if len(changes) > MAX_CHANGES_SHOWN:
+            lines.append(f"and {len(changes) - MAX_CHANGES_SHOWN} more")
         return lines
 
     # Deciding
 
-    async def _accept(self, stage: Stage, words: Words) -> Result[RollOutcome, Failure]:
+    async def _accept(
+        self, stage: Stage, acknowledgements: Acknowledgements
+    ) -> Result[RollOutcome, Failure]:
         def change(value):
             pointer = read_pointer(value)
             if pointer.staged is None or pointer.staged.seq != stage.seq:
                 return None
-            return pointer_document(pointer.with_accepted(words.waived))
+            return pointer_document(pointer.with_accepted(acknowledgements.waived))
 
         # Guards against a VM that goes on serving the old bundle on this VM's word
         # after the write took effect and its reply was lost (BUN-5). Noted with no
         # await between this and the sending: no answer of this VM that vouches for
         # "not accepted" can be later than the write.
-        self._keeper.begin_accepting(stage.seq)
+        self._keeper.mark_accepting(stage.seq)
         sent_at = self._timers.now()
         written = await self._store.update(POINTER_KIND, POINTER_NAME, change)
         if written.is_err():
-            told = "it may be in force: ask again with the same order"
-            return Err(_unknown(written.unwrap_err(), told))
+            explanation = "it may be in force: ask again with the same order"
+            return Err(_unknown(written.unwrap_err(), explanation))
         pointer = read_pointer(written.unwrap().value or None)
-        self._keeper.take(told_by_pointer(pointer, sent_at))
-        ended = pointer.ended(stage.order_id)
+        self._keeper.apply_report(report_from_pointer(pointer, sent_at))
+        ended = pointer.past_roll(stage.order_id)
         if ended is None or not ended.accepted:
             refused = await self._conflict(pointer, stage.digest)
             return Err(refused.unwrap_err())
         self._mesh.broadcast(BundleDecided(stage.seq, stage.digest, True))
         return Ok(
             RollOutcome(
-                stage.seq, stage.digest, words.acknowledged, words.gone, words.waived
+                stage.seq,
+                stage.digest,
+                acknowledgements.acknowledged,
+                acknowledgements.gone,
+                acknowledgements.waived,
             )
         )
 
@@ -314,7 +324,7 @@
         sent_at = self._timers.now()
         abandoned = await abandon_stage(self._store, stage.seq)
         if abandoned.is_ok():
-            self._keeper.take(told_by_pointer(abandoned.unwrap(), sent_at))
+            self._keeper.apply_report(report_from_pointer(abandoned.unwrap(), sent_at))
             self._mesh.broadcast(BundleDecided(stage.seq, stage.digest, False))
         detail = f"bundle {stage.digest[:12]} was not accepted: {failure.detail}"
         return Err(Failure(ErrorKind.ROLL_NOT_ACCEPTED, detail, failure.retry_after_s))
@@ -327,7 +337,7 @@
     return "nobody"
 
 
-def _under_way(vm: str) -> Failure:
+def _in_progress(vm: str) -> Failure:
     detail = f"this order is being carried out at {vm}: ask again with it"
     return Failure(ErrorKind.ROLL_UNKNOWN, detail, 1.0)
 
@@ -337,8 +347,8 @@
     return Failure(ErrorKind.ROLL_NOT_ACCEPTED, detail)
 
 
-def _unknown(failure: Failure, told: str) -> Failure:
+def _unknown(failure: Failure, explanation: str) -> Failure:
     if failure.kind is not ErrorKind.STORE_UNAVAILABLE:
         return failure
-    detail = f"the store did not answer ({failure.detail}); {told}"
+    detail = f"the store did not answer ({failure.detail}); {explanation}"
     return Failure(ErrorKind.ROLL_UNKNOWN, detail, 1.0)
--- a/hawthornlead/bundles/rolls.py
+++ b/hawthornlead/bundles/rolls.py
@@ -32,9 +32,9 @@
 from .bundle_knowledge import (
     NEVER,
     BundleKnowledge,
-    Told,
-    told_by_peer,
-    told_by_pointer,
+    BundleReport,
+    report_from_peer,
+    report_from_pointer,
 )
 from .bundle_libraries import BundleLibrary
 from .bundle_pointers import POINTER_KIND, POINTER_NAME, Pointer, Stage, read_pointer
@@ -42,12 +42,12 @@
 from .roll_orders import RollOrders, RollOutcome, abandon_stage
 
 # How often a VM asks others, as a share of the shorter of its two bounds.
-ASKS_PER_BOUND = 5
-PEERS_ASKED = 2
+POLLS_PER_BOUND = 5
+MAX_PEERS_POLLED = 2
 # So many VMs of a data centre read the pointer for all of it.
 READERS_PER_DATA_CENTRE = 2
 # A stage older than so many ACKNOWLEDGE_S is not being worked on any more.
-STALE_STAGE = 3
+STALE_STAGE_FACTOR = 3
 
 
 class InForce(NamedTuple):
@@ -72,9 +72,9 @@
     ):
         self._vm = core.settings["VM_NAME"]
         self._data_centre = core.settings["DATA_CENTRE"]
-        self._stale_s = STALE_STAGE * core.settings["ACKNOWLEDGE_S"]
+        self._stale_s = STALE_STAGE_FACTOR * core.settings["ACKNOWLEDGE_S"]
         shorter_s = min(core.settings["DOUBT_S"], core.settings["ISOLATION_S"])
-        self._ask_s = shorter_s / ASKS_PER_BOUND
+        self._poll_interval_s = shorter_s / POLLS_PER_BOUND
         self._timers = core.timers
         self._events = core.events
         self._metrics = core.metrics
@@ -104,14 +104,14 @@
         )
         self._in_force: InForce | None = None
         self._permit: Ok[InForce] | None = None
-        self._held_told = (0, 0)
+        self._announced_state = (0, 0)
         self._source = ""
         self._loaded: dict[str, Bundle] = {}
         self._tasks = TaskSet()
         self._subscription = None
-        mesh.on(StageBundle, self._answer_stage)
-        mesh.on(BundleDecided, self._take_decision)
-        mesh.on(FetchBundlePointer, self._answer_pointer)
+        mesh.on(StageBundle, self._on_stage)
+        mesh.on(BundleDecided, self._on_decision)
+        mesh.on(FetchBundlePointer, self._on_fetch_pointer)
 
     @property
     def in_force(self) -> InForce | None:
@@ -136,7 +136,9 @@
 
     def start(self) -> None:
         """Begin to ask for the pointer, at once and then often."""
-        self._subscription = self._timers.every(self._ask_s, self._ask, "bundles")
+        self._subscription = self._timers.every(
+            self._poll_interval_s, self._poll, "bundles"
+        )
         self._tasks.spawn_once("store", self._read_store)
 
     async def stop(self) -> None:
@@ -179,36 +181,36 @@
         stored = got.unwrap()
         pointer = read_pointer(stored.value if stored else None)
         if registered:
-            self._freshness.join(incarnation)
-        self._freshness.contact(read_at)
-        self.take(told_by_pointer(pointer, read_at))
+            self._freshness.record_join(incarnation)
+        self._freshness.record_contact(read_at)
+        self.apply_report(report_from_pointer(pointer, read_at))
         return Ok(pointer)
 
-    def take(self, told: Told, source: str = "") -> None:
+    def apply_report(self, report: BundleReport, source: str = "") -> None:
         """Take in what a source tells, and put in force what is accepted."""
         before = self._knowledge.seq
-        self._knowledge.merge(told, self._timers.now())
+        self._knowledge.merge(report, self._timers.now())
         if self._knowledge.seq > before:
             self._source = source
-        self._follow()
-        self._tell_change()
+        self._apply_knowledge()
+        self._announce_change()
 
-    def hold_loaded(self, bundle: Bundle) -> None:
+    def cache_bundle(self, bundle: Bundle) -> None:
         """Keep a verified bundle at hand, so that accepting it takes no time."""
         self._loaded[bundle.digest] = bundle
 
-    def begin_accepting(self, seq: int) -> None:
+    def mark_accepting(self, seq: int) -> None:
         """Note that the write which accepts a stage is about to be sent."""
-        self._freshness.begin_accepting(seq, self._timers.now())
+        self._freshness.mark_accepting(seq, self._timers.now())
 
-    def take_abandoned(self, seq: int) -> None:
+    def apply_abandoned(self, seq: int) -> None:
         """Take in that a stage was abandoned."""
-        self._knowledge.abandoned(seq)
-        self._tell_change()
+        self._knowledge.mark_abandoned(seq)
+        self._announce_change()
 
     # Coming into force
 
-    def _follow(self) -> None:
+    def _apply_knowledge(self) -> None:
         knowledge = self._knowledge
         if knowledge.seq <= self.seq_in_force:
             return
@@ -226,21 +228,21 @@
             return
         self._in_force = InForce(seq, bundle.digest, bundle)
         self._permit = Ok(self._in_force)
-        wanted = {bundle.digest}
+        retained = {bundle.digest}
         if old is not None:
-            wanted.add(old.digest)
+            retained.add(old.digest)
         if self._knowledge.staged is not None:
-            wanted.add(self._knowledge.staged.digest)
-        self._loaded = {d: b for d, b in self._loaded.items() if d in wanted}
-        self._library.keep_only(wanted)
+            retained.add(self._knowledge.staged.digest)
+        self._loaded = {d: b for d, b in self._loaded.items() if d in retained}
+        self._library.evict_except(retained)
         self._metrics.bundle_seq.set(seq)
         self._events.emit(EventKind.BUNDLE_IN_FORCE, bundle.digest, seq=seq)
 
-    def _tell_change(self) -> None:
+    def _announce_change(self) -> None:
         """Send a heartbeat at once when what it says of bundles has changed."""
-        held = (self.seq_in_force, self.staged_seq)
-        if held != self._held_told:
-            self._held_told = held
+        state = (self.seq_in_force, self.staged_seq)
+        if state != self._announced_state:
+            self._announced_state = state
             self._mesh.heartbeat_changed()
 
     async def _catch_up(self) -> None:
@@ -251,14 +253,14 @@
             sources = [vm for vm in (self._source,) if vm]
             loaded = await self._library.load(digest, sources)
             if loaded.is_err():
-                self._refused(digest, loaded.unwrap_err())
+                self._emit_refusal(digest, loaded.unwrap_err())
                 return
-            self.hold_loaded(loaded.unwrap().bundle)
+            self.cache_bundle(loaded.unwrap().bundle)
             if self._knowledge.seq == seq and self.seq_in_force < seq:
                 self._put_in_force(seq, loaded.unwrap().bundle)
-                self._tell_change()
+                self._announce_change()
 
-    def _refused(self, digest: str, failure: Failure) -> None:
+    def _emit_refusal(self, digest: str, failure: Failure) -> None:
         self._events.emit(
             EventKind.BUNDLE_REFUSED,
             digest,
@@ -268,29 +270,29 @@
 
     # Asking
 
-    def _ask(self) -> None:
+    def _poll(self) -> None:
         for peer in self._mesh.live:
-            told = peer.heartbeat.in_force_seq if peer.heartbeat else 0
-            if told > self._knowledge.seq:
+            reported_seq = peer.heartbeat.in_force_seq if peer.heartbeat else 0
+            if reported_seq > self._knowledge.seq:
                 self._tasks.spawn_once(
-                    f"ask {peer.vm}", partial(self._ask_peer, peer.vm)
+                    f"ask {peer.vm}", partial(self._query_peer, peer.vm)
                 )
-        for vm in self._asked():
-            self._tasks.spawn_once(f"ask {vm}", partial(self._ask_peer, vm))
-        if self._reads_store():
+        for vm in self._polled_vms():
+            self._tasks.spawn_once(f"ask {vm}", partial(self._query_peer, vm))
+        if self._should_read_store():
             self._tasks.spawn_once("store", self._read_store)
         if self.seq_in_force < self._knowledge.seq:
             self._tasks.spawn_once("catch-up", self._catch_up)
 
-    def _asked(self) -> set[str]:
+    def _polled_vms(self) -> set[str]:
         live = {peer.vm for peer in self._mesh.live} - {self._vm}
         names = sorted(live)
-        asked = set(self._rng.sample(names, min(PEERS_ASKED, len(names))))
+        polled = set(self._rng.sample(names, min(MAX_PEERS_POLLED, len(names))))
         staged = self._knowledge.staged
         if staged is not None:
             # The VM that staged it always knows, the readers nearly so.
-            asked.update(vm for vm in (staged.vm, *self._readers()) if vm in live)
-        return asked
+            polled.update(vm for vm in (staged.vm, *self._readers()) if vm in live)
+        return polled
 
     def _readers(self) -> list[str]:
         names = {self._vm}
@@ -299,17 +301,17 @@
                 names.add(peer.vm)
         return sorted(names)[:READERS_PER_DATA_CENTRE]
 
-    def _reads_store(self) -> bool:
+    def _should_read_store(self) -> bool:
         is_reader = self._vm in self._readers()
-        return is_reader or self._freshness.wants_read(self._timers.now())
+        return is_reader or self._freshness.requires_read(self._timers.now())
 
-    async def _ask_peer(self, vm: str) -> None:
-        asked_at = self._timers.now()
+    async def _query_peer(self, vm: str) -> None:
+        requested_at = self._timers.now()
         reply = await self._mesh.call(vm, FetchBundlePointer())
         if reply.is_err() or not isinstance(reply.unwrap(), BundlePointer):
             return
-        self._freshness.contact(asked_at)
-        self.take(told_by_peer(reply.unwrap(), asked_at), vm)
+        self._freshness.record_contact(requested_at)
+        self.apply_report(report_from_peer(reply.unwrap(), requested_at), vm)
 
     async def _read_store(self) -> None:
         read = await self.read_pointer()
@@ -324,15 +326,15 @@
         if sent_at - self._knowledge.staged_at > self._stale_s:
             abandoned = await abandon_stage(self._store, staged.seq)
             if abandoned.is_ok():
-                self.take(told_by_pointer(abandoned.unwrap(), sent_at))
+                self.apply_report(report_from_pointer(abandoned.unwrap(), sent_at))
 
     # Answering
 
-    async def _answer_pointer(self, sender, message) -> BundlePointer:
+    async def _on_fetch_pointer(self, sender, message) -> BundlePointer:
         now = self._timers.now()
         knowledge = self._knowledge
         staged = knowledge.staged or Stage(0, "", "", "")
-        vouched_at = self._freshness.vouched_at(now)
+        confirmed_undecided_at = self._freshness.confirmed_undecided_at(now)
         return BundlePointer(
             knowledge.seq,
             knowledge.digest,
@@ -341,26 +343,26 @@
             knowledge.decided_seq,
             staged.vm,
             staged.incarnation,
-            now - vouched_at if vouched_at != NEVER else -1.0,
+            now - confirmed_undecided_at if confirmed_undecided_at != NEVER else -1.0,
         )
 
-    async def _answer_stage(self, sender, message: StageBundle):
+    async def _on_stage(self, sender, message: StageBundle):
         received_at = self._timers.now()
         loaded = await self._library.load(message.digest, [message.vm])
         if loaded.is_err():
-            self._refused(message.digest, loaded.unwrap_err())
+            self._emit_refusal(message.digest, loaded.unwrap_err())
             return failed(loaded.unwrap_err())
         if message.seq <= self._knowledge.decided_seq:
             detail = f"stage {message.seq} is decided"
             return failed(Failure(ErrorKind.ROLL_CONFLICT, detail))
-        self.hold_loaded(loaded.unwrap().bundle)
+        self.cache_bundle(loaded.unwrap().bundle)
         staged = Stage(message.seq, message.digest, message.vm, message.incarnation)
         known = self._knowledge.staged
         first = known is None or known.seq < message.seq
         base = (message.base_seq, message.base_digest)
-        self.take(Told(*base, message.seq - 1, staged), message.vm)
+        self.apply_report(BundleReport(*base, message.seq - 1, staged), message.vm)
         if first:
-            self._freshness.acknowledge(message.seq, received_at)
+            self._freshness.record_acknowledgement(message.seq, received_at)
         if self.staged_seq != message.seq:
             detail = f"stage {message.seq} is decided"
             return failed(Failure(ErrorKind.ROLL_CONFLICT, detail))
@@ -369,7 +371,7 @@
             message.seq, message.digest, self._vm, self._mesh.incarnation
         )
 
-    async def _take_decision(self, sender, message: BundleDecided) -> None:
+    async def _on_decision(self, sender, message: BundleDecided) -> None:
         self._events.emit(
             EventKind.BUNDLE_DECIDED,
             message.digest,
@@ -377,6 +379,8 @@
             accepted=message.accepted,
         )
         if not message.accepted:
-            self.take_abandoned(message.seq)
+            self.apply_abandoned(message.seq)
             return
-        self.take(Told(message.seq, message.digest, message.seq, None), sender.vm)
+        self.apply_report(
+            BundleReport(message.seq, message.digest, message.seq, None), sender.vm
+        )
--- a/hawthornlead/tests/test_roll_doubts.py
+++ b/hawthornlead/tests/test_roll_doubts.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hawthornlead.bundles.bundle_knowledge import told_by_pointer
+from hawthornlead.bundles.bundle_knowledge import report_from_pointer
 from hawthornlead.errors import ErrorKind
 from hawthornlead.messages import (
     BundleDecided,
@@ -212,7 +212,7 @@
     store.out = True
     fleet.network.cuts = {frozenset("ac"), frozenset("bc")}
     keeper = fleet.vms["c"].keeper
-    keeper.take(told_by_pointer(old, fleet.timers.now() - 1))
+    keeper.apply_report(report_from_pointer(old, fleet.timers.now() - 1))
     assert keeper.staged_seq == 2
     await fleet.run(3.2)
     assert fleet.refusal("c") is ErrorKind.BUNDLE_UNDECIDED
--- a/hawthornlead/tests/test_rolls.py
+++ b/hawthornlead/tests/test_rolls.py
@@ -158,7 +158,7 @@
         vm.store.out = True
     new = await fleet.add("d")
     new.store.out, new.leases.state = True, "new"
-    new.keeper._freshness.join("")
+    new.keeper._freshness.record_join("")
     await fleet.run(10)
     assert fleet.refusal("d") is ErrorKind.NOT_READY
     new.store.out, new.leases.state = False, "held"
@@ -176,12 +176,12 @@
     (await fleet.roll("a", fleet.v2, 1)).unwrap()
     await fleet.settle()
     keeper, mesh = fleet.vms["b"].keeper, fleet.vms["a"].mesh
-    for word in (
+    for late_message in (
         BundleDecided(1, fleet.v1, True),
         BundleDecided(1, fleet.v1, False),
         BundleDecided(2, fleet.v2, False),
     ):
-        await mesh.call("b", word)
+        await mesh.call("b", late_message)
         assert fleet.served("b") == 2
 
     async def behind(sender, message):
