--- a/hawthornlead/bundles/__init__.py
+++ b/hawthornlead/bundles/__init__.py
@@ -1,6 +1,6 @@
-"""Bundles: what they hold, how they are signed, staged, accepted and read.
+"""Bundles: their content, how they are signed, staged, accepted and read.
 
-Whether the bundle in force is fresh enough to serve by is decided here.
+This package decides whether the bundle in force is fresh enough to serve.
 
 May import: the common modules, mesh, stores, ownership.
 """
--- a/hawthornlead/bundles/bundle_checks.py
+++ b/hawthornlead/bundles/bundle_checks.py
@@ -1,6 +1,6 @@
-"""Checks of a bundle document; every fault is told, not just the first.
+"""Validation of bundle documents that reports every fault, not just the first.
 
-A document is what operators write as JSON::
+Operators write documents as JSON::
 
     {"name": "spring", "note": "new tide briefings",
      "adapters": [{"adapter": "tides", "version": "v3", "base_model": "base-7b"}],
@@ -41,7 +41,7 @@
 
 
 class CallerDocument(TypedDict):
-    """One caller, its proof, its limits and what it is assigned."""
+    """One caller, its token hashes, its limits and what it is assigned."""
 
     name: str
     token_sha256: list[str]
@@ -97,7 +97,7 @@
         self.tokens: dict[str, str] = {}
 
     def add_fault(self, path: str, found: Any, allowed: str) -> None:
-        """Note one fault."""
+        """Record one fault."""
         text = "nothing" if found is _MISSING else repr(found)
         if len(text) > 80:
             text = text[:77] + "..."
@@ -114,7 +114,7 @@
         return True
 
     def rows(self, table: dict, key: str, path: str) -> list:
-        """Return the list under a key, or an empty one after noting a fault."""
+        """Return the list under a key, or an empty one after recording a fault."""
         value = table.get(key, [])
         if isinstance(value, list):
             return value
@@ -122,7 +122,7 @@
         return []
 
     def name(self, table: dict, key: str, path: str) -> str:
-        """Return the name under a key, or an empty text after noting a fault."""
+        """Return the name under a key, or an empty text after recording a fault."""
         value = table.get(key, _MISSING)
         if isinstance(value, str) and _NAME.fullmatch(value):
             return value
@@ -131,7 +131,7 @@
         return ""
 
     def number(self, table: dict, key: str, path: str, bounds, whole: bool) -> None:
-        """Check a number against its bounds, both included."""
+        """Check a number against its inclusive bounds."""
         value = table.get(key, _MISSING)
         low, high = bounds
         kinds = (int,) if whole else (int, float)
@@ -255,10 +255,10 @@
 
 
 def is_plain_path(path: str) -> bool:
-    """Tell whether a path means to every server what it says.
+    """Return whether all servers interpret a path in the same way.
 
-    A path with dot segments, empty segments or escapes can be read as another
-    path by the service, so that a prefix match on it proves nothing.
+    A service may resolve a path with dot segments, empty segments or escapes to
+    another path, so a prefix match on such a path proves nothing.
     """
     if not path.startswith("/") or "//" in path or "%" in path or "\\" in path:
         return False
--- a/hawthornlead/bundles/bundle_chunks.py
+++ b/hawthornlead/bundles/bundle_chunks.py
@@ -1,6 +1,6 @@
-"""Chunks of bundles: content that is named by its SHA-256, packed for the way.
+"""Chunks of bundles: compressed content named by its SHA-256.
 
-A bundle's manifest is a chunk too, and its digest is the bundle's::
+The manifest of a bundle is a chunk too, and its digest is that of the bundle::
 
     chunk = pack(canonical(rows))
     unpack(chunk).unwrap()
@@ -19,7 +19,7 @@
 # A chunk that unpacks to more is refused, so that a small malicious chunk can't
 # fill the memory of every VM.
 MAX_CHUNK_BYTES = 4 << 20
-# What the platform stores is base64 in JSON: this much stays below a megabyte.
+# The platform stores chunks as base64 in JSON: this size stays below a megabyte.
 MAX_PACKED_BYTES = 700_000
 
 
@@ -31,7 +31,7 @@
 
 
 class Manifest(NamedTuple):
-    """The names of a bundle's chunks, by the section and bucket that they hold."""
+    """The digests of a bundle's chunks by the section and bucket that they hold."""
 
     name: str
     note: str
@@ -41,8 +41,8 @@
 def pack(raw: bytes) -> BundleChunk:
     """Pack content into a chunk.
 
-    The digest is of the content before packing, so that it does not depend on the
-    version of the compressor.
+    The digest is computed before compression, so it does not depend on the version
+    of the compressor.
     """
     return BundleChunk(hashlib.sha256(raw).hexdigest(), zlib.compress(raw, 6))
 
@@ -53,13 +53,11 @@
     try:
         raw = unpacker.decompress(chunk.content, MAX_CHUNK_BYTES)
     except zlib.error as error:
-        return bad_bundle(f"chunk {chunk.digest[:12]} can't be unpacked: {error}")
+        return bad_bundle(f"chunk {chunk.digest[:12]} can't be decompressed: {error}")
     if not unpacker.eof:
-        return bad_bundle(f"chunk {chunk.digest[:12]} is cut or too large")
+        return bad_bundle(f"chunk {chunk.digest[:12]} is truncated or too large")
     if hashlib.sha256(raw).hexdigest() != chunk.digest:
-        return bad_bundle(
-            f"chunk {chunk.digest[:12]} has other content than its name says"
-        )
+        return bad_bundle(f"chunk {chunk.digest[:12]} does not match its digest")
     return Ok(raw)
 
 
@@ -81,5 +79,5 @@
 
 
 def bad_bundle(detail: str) -> Err[Failure]:
-    """Return the failure of a bundle that is not as it must be."""
+    """Return the failure for an invalid bundle."""
     return Err(Failure(ErrorKind.BAD_BUNDLE, detail))
--- a/hawthornlead/bundles/bundle_diffs.py
+++ b/hawthornlead/bundles/bundle_diffs.py
@@ -1,4 +1,4 @@
-"""The difference between two bundles, as operators read it."""
+"""The differences between two bundles as text for operators."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -20,7 +20,7 @@
 def diff(old: Bundle | None, new: Bundle) -> tuple[Change, ...]:
     """Return what changes when ``new`` follows ``old``, sorted by subject.
 
-    Without an ``old`` bundle all of ``new`` is added.
+    Without an ``old`` bundle everything in ``new`` is added.
     """
     changes = list(_adapters(old, new))
     changes += _callers(old, new)
--- a/hawthornlead/bundles/bundle_parts.py
+++ b/hawthornlead/bundles/bundle_parts.py
@@ -1,8 +1,8 @@
-"""Parts of bundles: rows of adapters, callers and services, a chunk each.
+"""Parts of bundles: rows of adapters, callers and services, one chunk per part.
 
-Adapters and callers are spread over a fixed number of parts by a hash of their name,
-so that a change of one of them alters one chunk and the manifest, and all others are
-shared with older bundles::
+Adapters and callers are distributed over a fixed number of parts by a hash of their
+name. A change of one row alters one chunk and the manifest; all other chunks are shared
+with older bundles::
 
     for name, rows in split_document(document).items():
         part = read_part(pack(canonical(rows))).unwrap()
@@ -25,9 +25,9 @@
 class CallerTerms(NamedTuple):
     """A caller and its limits.
 
-    ``rate`` is in requests a second, ``burst`` in requests at once after a pause,
-    ``concurrency`` in requests open at a time. ``priority`` goes from 0 to 9; 9 is
-    served first.
+    ``rate`` is in requests per second, ``burst`` in requests at once after a pause,
+    ``concurrency`` in requests open at a time. ``priority`` is 0 to 9; 9 is served
+    first.
     """
 
     name: str
@@ -38,7 +38,7 @@
 
 
 class AdapterRow(NamedTuple):
-    """One adapter version of a bundle and the base model it dresses."""
+    """One adapter version of a bundle and the base model it applies to."""
 
     adapter: str
     version: str
@@ -53,7 +53,7 @@
 
 
 class CallerEntry(NamedTuple):
-    """All that a bundle says of one caller."""
+    """The terms, tokens, aliases and services of one caller."""
 
     terms: CallerTerms
     token_sha256: tuple[str, ...]
@@ -62,7 +62,7 @@
 
 
 class ServiceRule(NamedTuple):
-    """The calls of one method below one path."""
+    """Whether calls of one method below one path are repeatable."""
 
     method: str
     path: str
@@ -70,7 +70,7 @@
 
 
 class Part(NamedTuple):
-    """The rows of one chunk that is a part of a bundle, read."""
+    """The parsed rows of one part of a bundle."""
 
     digest: str
     adapters: dict[AliasTarget, str]
@@ -79,7 +79,7 @@
 
 
 def split_document(document: BundleDocument) -> dict[str, list]:
-    """Return the rows of each part by its name, the same for the same document."""
+    """Return the rows of each part by its name, deterministically."""
     sections: dict[str, list] = {}
     for row in document.get("adapters", []):
         sections.setdefault(_bucket("adapters", row["adapter"]), []).append(row)
@@ -108,7 +108,7 @@
 
 
 def read_part(chunk: BundleChunk) -> Result[Part, Failure]:
-    """Read a part from its chunk, checked against its digest."""
+    """Parse a part from its chunk after checking the digest."""
     unpacked = unpack(chunk)
     if unpacked.is_err():
         return unpacked
--- a/hawthornlead/bundles/bundle_pointers.py
+++ b/hawthornlead/bundles/bundle_pointers.py
@@ -1,10 +1,10 @@
-"""The pointer to the bundle in force, and the only ways in which it changes.
+"""The pointer to the bundle in force and the transitions allowed on it.
 
-``bundle/pointer`` is one small object, changed by conditional update only. A stage
-has a sequence number that is never used again, numbers of abandoned stages included.
-It guards against a late word on one stage being taken for one on another (BUN-6),
-which would show as a VM that lost its doubt and serves an old bundle on: a read from
-before the stage has a lower ``last_seq`` and so decides nothing about it.
+``bundle/pointer`` is one small object, changed by conditional update only. The sequence
+number of a stage is never reused, even if the stage is abandoned. This guards against a
+late message about one stage being applied to another (BUN-6): a VM would stop doubting
+and keep serving an old bundle. A read from before the stage has a lower ``last_seq``
+and so decides nothing about it.
 """
 
 from typing import Any, NamedTuple
@@ -15,7 +15,7 @@
 
 
 class Stage(NamedTuple):
-    """A bundle that is staged. Only the process named by it can accept it."""
+    """A staged bundle, which only the process named here can accept."""
 
     seq: int
     digest: str
@@ -26,7 +26,7 @@
 
 
 class PastRoll(NamedTuple):
-    """One order to roll that has ended."""
+    """A finished order to roll."""
 
     seq: int
     digest: str
@@ -37,7 +37,7 @@
 
 
 class Pointer(NamedTuple):
-    """The bundle in force (``seq`` 0: none), the staged one and past rolls.
+    """The bundle in force (``seq`` 0 for none), the staged one and past rolls.
 
     ``last_seq`` is the highest sequence number ever given to a stage.
     """
@@ -54,7 +54,7 @@
         return self.staged.seq - 1 if self.staged else self.last_seq
 
     def past_roll(self, order_id: str) -> PastRoll | None:
-        """Return how an order ended, None when it is not remembered."""
+        """Return the result of an order, None if it is not remembered."""
         for roll in self.past:
             if roll.order_id == order_id:
                 return roll
@@ -87,7 +87,7 @@
 
 
 def read_pointer(value: dict[str, Any] | None) -> Pointer:
-    """Read the pointer as the store keeps it; None: no bundle was ever staged."""
+    """Parse the stored pointer; None means that no bundle was ever staged."""
     if value is None:
         return Pointer()
     staged = value.get("staged")
--- a/hawthornlead/bundles/bundles.py
+++ b/hawthornlead/bundles/bundles.py
@@ -1,8 +1,8 @@
-"""Bundles: which adapter version answers which caller.
+"""Bundles: which adapter version serves which caller.
 
-An operator's document is checked, put into canonical JSON and split into parts
-(``bundle_parts``), each a chunk (``bundle_chunks``). The manifest names the chunks, is
-a chunk itself, and its digest is the bundle's::
+An operator's document is checked, converted to canonical JSON and split into parts
+(``bundle_parts``), one chunk each (``bundle_chunks``). The manifest lists the chunks
+and is a chunk itself. Its digest is that of the bundle::
 
     bundle = Bundle.read(document).unwrap()
     caller = bundle.caller_of("the caller's token")
@@ -50,14 +50,14 @@
 
 
 class ServiceTerms(NamedTuple):
-    """What a bundle says of one call of a plain service."""
+    """The terms of a bundle for one call of a plain service."""
 
     service: str
     repeatable: bool
 
 
 class Bundle:
-    """One bundle, ready to answer who is assigned what."""
+    """A parsed bundle that looks up the assignments of callers."""
 
     def __init__(self, manifest: BundleChunk, name: str, note: str, parts: list[Part]):
         self._manifest = manifest
@@ -108,9 +108,9 @@
 
     @classmethod
     def read(cls, document: Any) -> Result["Bundle", Failure]:
-        """Check an operator's document and make the bundle of it.
+        """Check an operator's document and build its bundle.
 
-        The failure tells every fault, one a line.
+        The failure lists the faults, one per line.
         """
         return prepare(document).map(lambda prepared: prepared.bundle)
 
@@ -121,10 +121,10 @@
         chunks: Mapping[str, BundleChunk],
         earlier: Iterable["Bundle"] = (),
     ) -> Result["Bundle", Failure]:
-        """Make a bundle of its chunks.
+        """Build a bundle from its chunks.
 
-        Parts that an ``earlier`` bundle holds are shared with it, so that only
-        what changed costs time and memory, and need not be among ``chunks``.
+        Parts that an ``earlier`` bundle holds are shared with it and need not be
+        among ``chunks``, so that only changed parts cost time and memory.
         """
         read = read_manifest(manifest)
         if read.is_err():
@@ -146,7 +146,7 @@
         return Ok(cls(manifest, read.unwrap().name, read.unwrap().note, parts))
 
     def document(self) -> BundleDocument:
-        """Return the document that this bundle would be made of."""
+        """Return the document that produces this bundle."""
         callers = []
         for entry in self._callers.values():
             aliases = {
@@ -168,14 +168,14 @@
         }
 
     def holds_part(self, digest: str) -> bool:
-        """Tell whether a chunk is a part of this bundle."""
+        """Return whether a chunk is a part of this bundle."""
         return digest in self._parts
 
     def caller_of(self, token: str) -> CallerTerms | None:
-        """Return whose token this is, or None.
+        """Return the caller to whom a token belongs, or None.
 
-        The token is hashed and the hash looked up. How long a look-up takes tells
-        at most something of the hashes, from which no token can be found.
+        The lookup uses the hash of the token. Its duration can reveal something
+        about the hashes at most, from which no token can be derived.
         """
         return self._tokens.get(token_hash(token))
 
@@ -185,17 +185,17 @@
         target = entry.aliases.get(alias) if entry else None
         base_model = self._adapters.get(target) if target else None
         if base_model is None:
-            detail = f"the bundle assigns nothing to {caller.name} as {alias!r}"
+            detail = f"the bundle assigns no adapter to {caller.name} as {alias!r}"
             return Err(Failure(ErrorKind.NOT_ASSIGNED, detail))
         return Ok(Assignment(*target, base_model, entry.terms.priority))
 
     def service_call(
         self, caller: CallerTerms, service: str, method: str, path: str
     ) -> Result[ServiceTerms, Failure]:
-        """Return what the bundle says of a caller's call to a plain service.
+        """Return the terms of a caller's call to a plain service.
 
-        The longest path that matches decides. A call that the bundle does not
-        name, or whose path can be read in two ways, is not repeatable.
+        The longest matching path decides. A call that the bundle does not list, or
+        whose path is ambiguous, is not repeatable.
         """
         entry = self._callers.get(caller.name)
         if service not in self._services:
@@ -215,7 +215,7 @@
         return Ok(ServiceTerms(service, repeatable))
 
     def adapters(self) -> Iterator[AdapterRow]:
-        """Go through all adapter versions of the bundle."""
+        """Iterate over all adapter versions of the bundle."""
         for target, base_model in self._adapters.items():
             yield AdapterRow(target.adapter, target.version, base_model)
 
--- a/hawthornlead/bundles/roll_acknowledgements.py
+++ b/hawthornlead/bundles/roll_acknowledgements.py
@@ -1,4 +1,4 @@
-"""Gathering the words of all VMs on a stage, before it may be accepted."""
+"""Collects the acknowledgements of all VMs before a staged bundle is accepted."""
 
 import asyncio
 from collections import defaultdict
@@ -13,15 +13,14 @@
 from ..ownership.registered_vms import list_registered
 from .bundle_pointers import Pointer, Stage
 
-# A VM that has not acknowledged is asked again after this share of the longest
-# wait.
+# A VM that has not acknowledged is asked again after this share of ACKNOWLEDGE_S.
 RETRY_INTERVAL_SHARE = 0.08
 
 
 class Acknowledgements(NamedTuple):
-    """Who acknowledged a stage, is proved gone, is waived; who else is silent.
+    """The VMs that acknowledged a stage, are proved gone, are waived or are silent.
 
-    ``silent`` maps the name of a VM to a sentence on why there is no word.
+    ``silent`` maps the name of a VM to the reason why it has not acknowledged.
     """
 
     acknowledged: tuple[str, ...]
@@ -31,7 +30,7 @@
 
 
 class AcknowledgementCollector:
-    """Asks the VMs for their words on a stage."""
+    """Requests acknowledgements of a stage from all VMs."""
 
     def __init__(self, *, settings, timers, store, mesh, members):
         self._acknowledge_s = settings["ACKNOWLEDGE_S"]
@@ -46,12 +45,12 @@
     ) -> Result[Acknowledgements, Failure]:
         """Ask every registered VM that is not proved gone.
 
-        ``waivable`` names VMs and data centres without whose word it goes.
+        ``waivable`` names VMs and data centres whose acknowledgement is not required.
         """
-        # Guards against a VM that nobody waits for and that serves the old bundle
-        # on after the acceptance (BUN-11, BUN-13). The list is read after the stage
-        # was written: a VM that is not in it read the pointer after it registered,
-        # and so after the stage, and is in doubt by having read of it.
+        # Guards against a VM that no roll waits for and that keeps serving the old
+        # bundle after the acceptance (BUN-11, BUN-13). The list is read after the
+        # stage is written: a VM that is not in it reads the pointer after it has
+        # registered, so it sees the stage and is in doubt of it.
         listed = await list_registered(self._store)
         if listed.is_err():
             return listed
@@ -64,37 +63,37 @@
                 gone.append(vm)
             else:
                 required.append(vm)
-        replies = await asyncio.gather(
+        outcomes = await asyncio.gather(
             *(
                 self._request_acknowledgement(vm, entries[vm], pointer)
                 for vm in required
             )
         )
         acknowledged, silent = [], {}
-        for vm, reply in zip(required, replies, strict=True):
+        for vm, outcome in zip(required, outcomes, strict=True):
             names = {vm, *(entry.data_centre for entry in entries[vm])}
-            if reply.is_ok():
-                (acknowledged if reply.unwrap() else gone).append(vm)
+            if outcome.is_ok():
+                (acknowledged if outcome.unwrap() else gone).append(vm)
             elif names & set(waivable):
                 waived.append(vm)
             else:
                 data_centre = entries[vm][0].data_centre
-                silent[vm] = f"{vm} ({data_centre}): {reply.unwrap_err().detail}"
+                silent[vm] = f"{vm} ({data_centre}): {outcome.unwrap_err().detail}"
         return Ok(
             Acknowledgements(tuple(acknowledged), tuple(gone), tuple(waived), silent)
         )
 
     def _is_gone(self, entry: Registration) -> bool:
-        # A process that registered anew after its lease lapsed has two names. Proof
-        # is of the process: that one of its registrations was ended must not count
-        # as proof, or a roll is accepted without a VM that serves behind a cut.
+        # A process that registered again after its lease lapsed has two names. Proof
+        # must be of the process: if the end of one of its registrations counted, a
+        # roll would be accepted without a VM that still serves behind a partition.
         process = process_of(entry.incarnation)
         return self._members.proof_gone(entry.vm, process) is not None
 
     async def _request_acknowledgement(
         self, vm: str, entries: list[Registration], pointer: Pointer
     ) -> Result[bool, Failure]:
-        """Return True for a VM's word, False when it is proved gone meanwhile."""
+        """Return True if a VM acknowledges, False if it is proved gone meanwhile."""
         stage = pointer.staged
         message = StageBundle(
             stage.seq,
@@ -117,7 +116,7 @@
                 break
             await self._timers.sleep(self._retry_interval_s)
         if reply.is_ok():
-            return Err(Failure(ErrorKind.BAD_MESSAGE, "not a word on this stage"))
+            return Err(Failure(ErrorKind.BAD_MESSAGE, "reply names another stage"))
         return reply
 
 
