--- a/hawthornlead/tests/test_attempts.py
+++ b/hawthornlead/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""Tests of what an attempt says of its end to the grant that it runs under."""
+"""Tests of how an attempt reports its end to its grant."""
 
 from types import SimpleNamespace
 
@@ -16,7 +16,7 @@
 
 
 class _Exchange:
-    """A connection that breaks, before or after the answer had begun."""
+    """A connection that breaks before or after the answer has started."""
 
     def __init__(self, head):
         self.head = head
@@ -28,10 +28,10 @@
         return Err(LOST)
 
     def release(self):
-        """Nothing to give back."""
+        """Do nothing."""
 
     def close(self):
-        """Closed already."""
+        """Do nothing; it is closed already."""
 
 
 class _Grant:
@@ -54,10 +54,10 @@
     ],
 )
 async def test_cancel_that_overtakes_its_request(begun, cancelled, ended):
-    """A connection breaks while the request is on its way to the target.
+    """A connection breaks while the request is in transit to the target.
 
-    The cancel goes over a fresh connection, arrives first and is answered. Were the
-    grant given back now, the owner could evict while the request arrives and runs.
+    The cancel uses a new connection, arrives first and is answered. If the grant were
+    released now, the owner could evict the adapter while the request arrives and runs.
     """
     head = SimpleNamespace(status=200) if begun else None
 
--- a/hawthornlead/tests/test_late_attempts.py
+++ b/hawthornlead/tests/test_late_attempts.py
@@ -1,4 +1,4 @@
-"""Tests of attempts that come too late to be sent."""
+"""Tests of attempts that are too late to be sent."""
 
 import asyncio
 import random
@@ -16,22 +16,22 @@
 
 
 class FakeGrant:
-    """A grant that never runs out."""
+    """A grant that never expires."""
 
     def __init__(self):
         self.begun = []
 
     def start(self, attempt_id):
-        """Note the attempt."""
+        """Record the attempt."""
         self.begun.append(attempt_id)
         return Ok(None)
 
 
 async def test_an_attempt_frozen_while_it_connects_is_not_sent():
-    """The VM is stopped between connecting and sending, past the deadline.
+    """The VM is frozen between connecting and sending until after the deadline.
 
-    The caller has given up and tried again elsewhere, maybe with success: sent now,
-    the request runs twice. Its grant may be good still, being renewed on waking.
+    The caller may have retried elsewhere successfully: sent now, the request would
+    run twice. The grant may still be valid, since it is renewed on waking.
     """
     timers = ManualTimerService()
     core = build_core(default_settings(VM_NAME="vm-1"), random.Random(1), timers)
--- a/hawthornlead/tests/test_outcomes.py
+++ b/hawthornlead/tests/test_outcomes.py
@@ -1,4 +1,4 @@
-"""Tests of what is told and noted at the end of a request."""
+"""Tests of the failure that is answered at the end of a request."""
 
 import pytest
 
@@ -9,15 +9,15 @@
 
 
 def test_a_refusal_after_an_attempt_that_ran_does_not_say_not_run():
-    """A request is lost with its target and then finds no other to run on.
+    """A request's target dies, and the retry finds no other target.
 
-    The caller would be told of the last attempt only, that it did not run, and send
-    again what has run once.
+    If the answer were that of the last attempt only, "not run", the caller would send
+    again a request that may have run.
     """
-    told = failure_to_answer(NOT_RUN, ran=True)
-    assert told.answer.ran is not Ran.NOT_RUN
-    assert "none is left" in told.detail
-    assert told.retry_after_s == 1.0
+    answered = failure_to_answer(NOT_RUN, ran=True)
+    assert answered.answer.ran is not Ran.NOT_RUN
+    assert "none is left" in answered.detail
+    assert answered.retry_after_s == 1.0
 
 
 @pytest.mark.parametrize("ran", [False, True])
--- a/hawthornlead/tests/test_requests.py
+++ b/hawthornlead/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""Tests of how the path of a request chooses among targets."""
+"""Tests of how the request path chooses among targets."""
 
 import asyncio
 import random
@@ -28,7 +28,7 @@
 
 
 class Site:
-    """A request path with two targets, each of which grants all that is asked."""
+    """A request path with two targets that grant every request."""
 
     def __init__(self):
         self.timers = ManualTimerService()
@@ -54,7 +54,7 @@
         )
 
     async def reserve(self, view, request_id, hold_s):
-        """Give out the place for a suspect, as an owner that gives out no other."""
+        """Reserve the place for a suspect, as an owner without other suspects does."""
         return Ok(None)
 
     def views(self):
@@ -69,26 +69,26 @@
         return [Candidate(view.target, resident=True) for view in views]
 
     async def acquire(self, target, assignment, **terms):
-        """Grant at once."""
+        """Grant the request at once."""
         self.on_acquire(target)
         return Ok(SimpleNamespace(loaded_s=0.0))
 
     def run_on(self, target, prompt):
-        """Let a request that is a suspect run on a target."""
+        """Record that a suspect runs on a target."""
         view = next(view for view in self.views() if view.target == target)
         fingerprint = self.request(prompt).fingerprint
         self.suspects.record_death("t0", "boot-1", [fingerprint])
         self.deaths.record_start(view, f"{prompt}.1", fingerprint)
 
     def request(self, prompt, left_s=5.0):
-        """Return a request with some seconds to its deadline."""
+        """Return a request with ``left_s`` seconds to its deadline."""
         until = self.timers.now() + left_s
         return CallerRequest("r", CALLER, "brief", prompt, 8, 5, until, "", None)
 
     def grant(self, prompt):
-        """Ask for a grant for a request."""
-        asked = self.path._grant(self.request(prompt), ASSIGNMENT, set())
-        return asyncio.create_task(asked)
+        """Start to acquire a grant for a request."""
+        granting = self.path._grant(self.request(prompt), ASSIGNMENT, set())
+        return asyncio.create_task(granting)
 
 
 @pytest.fixture
@@ -97,9 +97,10 @@
 
 
 async def test_a_suspect_goes_where_no_other_suspect_runs(site):
-    """Two suspects run on one target, which dies: both are refused for long.
+    """Two suspects run on one target, which dies, and both are quarantined.
 
-    One of them is innocent. Kept apart, the next death names the one that did it.
+    One of them is innocent. On separate targets the next death identifies the one
+    that causes it.
     """
     site.run_on("t1", "bad")
     site.suspects.record_death("t0", "boot-1", [site.request("suspect").fingerprint])
@@ -143,8 +144,8 @@
 async def test_a_suspect_that_began_during_the_wait_for_a_grant_is_seen(site):
     """Two suspects wait for grants on one target, which is free of suspects.
 
-    Both were let through before either ran; so the target is looked at again when
-    the grant has come, right before the attempt begins.
+    Both pass the check before either runs, so the target is checked again when the
+    grant was acquired, right before the attempt starts.
     """
 
     def other_begins(target):
--- a/hawthornlead/tests/test_sent_attempts.py
+++ b/hawthornlead/tests/test_sent_attempts.py
@@ -1,4 +1,4 @@
-"""The invariants about what was sent can break: each is broken here once."""
+"""Tests that each invariant about sent attempts detects a violation."""
 
 import pytest
 
@@ -22,10 +22,10 @@
 
 
 def test_not_run_of_what_was_sent(sent, invariants):
-    """A caller is told "not run" and sends its lap crossing again.
+    """A caller is answered "not run" for a request that may have run.
 
-    The first attempt's bytes left and its connection broke; the second attempt got
-    no slot, and the error of the second was answered.
+    The first attempt was sent and its connection broke. The second attempt got no
+    slot, and only its error was answered.
     """
     sent.record_send("r-1", at_most_once=False)
     with pytest.raises(InvariantBroken, match="not-run-never-sent"):
@@ -34,7 +34,7 @@
     assert invariants.broken == {"not-run-never-sent": 1}
 
 
-def test_not_run_after_a_promise_or_of_another_request(sent):
+def test_not_run_after_confirmation_or_of_another_request(sent):
     sent.record_send("r-1", at_most_once=True)
     sent.record_not_run("r-1")
     sent.check_refusal("r-1", NOT_RUN)
@@ -43,14 +43,14 @@
     sent.check_refusal("r-1", NOT_RUN)
 
 
-def test_sent_again_though_it_may_not_be_repeated(sent):
-    """A bulletin is filed twice: its first attempt was lost and it was retried."""
+def test_resend_of_a_request_that_must_not_be_repeated(sent):
+    """A request that must not be repeated is retried after its attempt was lost."""
     sent.record_send("r-1", at_most_once=True)
     with pytest.raises(InvariantBroken, match="keyed-sent-once"):
         sent.record_send("r-1", at_most_once=True)
 
 
-def test_sent_again_after_a_promise_or_when_repeatable(sent, invariants):
+def test_resend_after_confirmation_or_when_repeatable(sent, invariants):
     sent.record_send("r-1", at_most_once=True)
     sent.record_not_run("r-1")
     sent.record_send("r-1", at_most_once=True)
