--- a/hawthornlead/tests/fakes_fleets.py
+++ b/hawthornlead/tests/fakes_fleets.py
@@ -27,8 +27,8 @@
 from .fakes_mesh import LocalMesh, LocalNetwork
 
 MESSAGE_BYTES = 1 << 20
-# What a VM needs to hear of all others after a change: a head's silence, the dial to
-# another, and the way of a word through heads.
+# The time until each VM sees all others after a change: the silence time-out of a head,
+# the dial to another, and the propagation of an update through heads.
 SETTLED_S = 4.0
 
 
@@ -102,7 +102,7 @@
         return [other for other in self._meshes if self.linked(vm, other)]
 
     def last_seen_at(self, a: str, b: str) -> float:
-        """When ``a`` last heard ``b``: now, as both beat, unless one is frozen."""
+        """When ``a`` last saw ``b``: now, unless one of them is frozen."""
         if not {a, b} & self._frozen:
             self._last_seen_at[a, b] = self._timers.now()
         return self._last_seen_at[a, b]
@@ -127,14 +127,14 @@
             self._network.dial(self.vm, vm)
 
     def limit_heartbeats_to(self, beaten) -> None:
-        """Do nothing: who isn't frozen is heard."""
+        """Do nothing: each VM that isn't frozen is seen."""
 
     def connected(self, vm: str) -> bool:
-        """Whether a connection with a VM stands."""
+        """Whether a VM is connected."""
         return self._network.linked(self.vm, vm)
 
     def last_seen_at(self, vm: str) -> float | None:
-        """Return when a connected VM was heard last."""
+        """Return when a connected VM was last seen."""
         if not self.connected(vm):
             return None
         return self._network.last_seen_at(self.vm, vm)
@@ -158,7 +158,7 @@
 
 
 class FleetVm:
-    """One VM of a fleet: its mesh, and what it tells of its requests."""
+    """One VM of a fleet: its mesh, and the announcements of its requests."""
 
     def __init__(self, fleet, name, place, incarnation):
         self.place = place
@@ -196,14 +196,14 @@
         self._count_messages()
 
     def own_state(self) -> MemberState:
-        """Return what is told of this VM."""
+        """Return the state that this VM announces."""
         return MemberState(
             self.mesh.vm, self.mesh.incarnation, self.serving, self.leaving
         )
 
     @property
     def seen_share(self) -> float:
-        """Return which part of all VMs this one hears, itself included."""
+        """Return the share of all VMs that this one sees, including itself."""
         heard = len(self.live())
         return heard / max(heard, self.registered_order.count)
 
@@ -212,7 +212,7 @@
         return (self.mesh.vm, *[peer.vm for peer in self.mesh.live])
 
     def start(self) -> None:
-        """Begin to connect and to tell."""
+        """Start connecting and announcing."""
         self.mesh.start()
         self.words.start()
 
@@ -254,7 +254,7 @@
                     self.start(f"{place}-{number}", place)
 
     def start(self, name: str, place: str) -> FleetVm:
-        """Start the process of a VM, again if it had one."""
+        """Start the process of a VM, or restart it."""
         self._revision += 1
         incarnation = f"{name}-{self._revision}"
         former = self.vms.pop(name, None)
@@ -271,7 +271,7 @@
         return vm
 
     def kill(self, name: str) -> None:
-        """End the process of a VM without a word."""
+        """Kill the process of a VM without a goodbye."""
         self.vms.pop(name).stop()
         self.frozen.discard(name)
         self.network.leave(name)
@@ -326,7 +326,7 @@
             vm.stop()
 
     def _register(self, record: VmRecord) -> None:
-        """Let the store tell all VMs of a registration."""
+        """Apply a registration at all VMs, as the store would."""
         self._revision += 1
         self._registered[record.vm] = record
         self._revisions[record.vm] = self._revision
--- a/hawthornlead/tests/fakes_spread.py
+++ b/hawthornlead/tests/fakes_spread.py
@@ -55,7 +55,7 @@
         self._silenced: set[frozenset[str]] = set()
 
     def _timers_of_vm(self) -> PlayedTimers:
-        """Return timers that stand still while the VM that joins is frozen."""
+        """Return timers that stop while the VM that joins is frozen."""
         return PlayedTimers()
 
     def dial(self, a: str, b: str) -> None:
@@ -84,7 +84,7 @@
         self.break_link(a, b)
 
     def last_seen_at(self, a: str, b: str) -> float:
-        """When ``a`` last heard ``b``."""
+        """When ``a`` last saw ``b``."""
         still = {a, b} & self._frozen or frozenset((a, b)) in self._silenced
         if not still:
             self._last_seen_at[a, b] = self._timers.now()
@@ -286,14 +286,14 @@
         vm.start()
 
     def kill(self, name: str) -> None:
-        """End a VM's process without a word."""
+        """Kill a VM's process without a goodbye."""
         vm = self.vms.pop(name, None)
         if vm is not None:
             vm.stop()
             self.network.leave(name)
 
     def freeze(self, name: str) -> None:
-        """Let a VM stand still."""
+        """Freeze a VM."""
         self.vms[name].timers.freeze()
         self.network.freeze(name)
 
@@ -306,7 +306,7 @@
             self.disturb(name)
 
     def cut_off(self, name: str) -> None:
-        """Cut a VM from all others, without a word to either side."""
+        """Cut a VM from all others, silently for both sides."""
         for other in self.vms:
             if other != name:
                 self._silenced.add((name, other))
@@ -348,8 +348,8 @@
         """Name the VMs that watch for all others."""
         return [name for name, vm in self.vms.items() if vm.relays.is_relay]
 
-    def fed_by(self, head: str) -> list[str]:
-        """Name the VMs that hear of the fleet from a head."""
+    def subscribers_of(self, head: str) -> list[str]:
+        """Name the subscribers of a head."""
         return [name for name, vm in self.vms.items() if vm.mesh.upstream_head == head]
 
     def stop(self) -> None:
--- a/hawthornlead/tests/following_vms.py
+++ b/hawthornlead/tests/following_vms.py
@@ -237,13 +237,13 @@
             self.expected[kind].pop(name, None)
 
     async def agree(self):
-        """Wait until each VM believes what it must."""
+        """Wait until each VM knows the expected objects."""
         await self.until(lambda: all(vm.known() == self.expected for vm in self.vms))
 
     async def told(self) -> list[FollowingVm]:
-        """Return the VMs that two others tell, once these are settled.
+        """Return the VMs that receive changes, once there are two relays.
 
-        Each looks some times a second whether it is one of the two.
+        Each VM checks several times a second whether it is a relay.
         """
         await self.until(lambda: sum(vm.relays.is_relay for vm in self.vms) == 2)
         return [vm for vm in self.vms if not vm.relays.is_relay]
--- a/hawthornlead/tests/test_change_spread.py
+++ b/hawthornlead/tests/test_change_spread.py
@@ -27,7 +27,7 @@
     fleet = PlayedFleet(dict.fromkeys(PLACES, EACH_LARGE), Random(seed))
     await fleet.start_all()
     late = []
-    for name in fleet.fed_by(SILENT_HEAD) if refused else ():
+    for name in fleet.subscribers_of(SILENT_HEAD) if refused else ():
         fleet.store.turn_away(name, Refusal.BUSY)
     for _ in range(3):
         fleet.freeze(SILENT_HEAD)
--- a/hawthornlead/tests/test_fleet_meshes.py
+++ b/hawthornlead/tests/test_fleet_meshes.py
@@ -1,4 +1,4 @@
-"""Tests of how the VMs of a large fleet hear of one another through heads."""
+"""Tests of how the VMs of a large fleet observe one another through heads."""
 
 import pytest
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 async def fleet():
-    """A large fleet in which all have heard of all."""
+    """A large fleet in which each VM sees all others."""
     running = FakeFleet(PLACES)
     await running.settle()
     yield running
@@ -24,7 +24,7 @@
 
 
 def all_see_all(fleet):
-    """Whether each VM that runs sees just those that run and stay."""
+    """Whether each running VM sees exactly the running VMs that aren't leaving."""
     staying = fleet.staying()
     running = set(fleet.vms) - fleet.frozen
     return all(fleet.seen_by(name) == staying - {name} for name in running)
@@ -58,7 +58,7 @@
     fleet.stop()
 
 
-async def test_what_is_said_to_all_reaches_each_once(fleet):
+async def test_a_broadcast_reaches_each_vm_once(fleet):
     heard = []
     for name, vm in fleet.vms.items():
 
@@ -78,10 +78,10 @@
 
 
 async def test_a_frozen_vm_is_left_out_of_answers_in_time(fleet):
-    """Callers are sent to a VM that has stood still for seconds.
+    """Guards against callers being sent to a VM that has been frozen for seconds.
 
-    Each new connection with it costs a caller a second. Whether it lives was told by
-    heartbeats to all, seldomer the more VMs there were.
+    Each new connection with it costs a caller a second. With heartbeats between all VMs
+    the interval would grow with their number, and with it the detection time.
     """
     name = next(iter(set(fleet.vms) - fleet.heads()))
     fleet.freeze(name)
@@ -92,9 +92,9 @@
 @pytest.mark.parametrize("lost", ["one", "both"])
 @pytest.mark.parametrize("how", ["kill", "freeze"])
 async def test_heads_that_are_lost_cost_two_seconds_of_stale_answers(fleet, lost, how):
-    """All VMs of a data centre vanish from the answers, or stay in them though gone.
+    """Guards against answers that lose a whole data centre, or keep its dead VMs.
 
-    Its heads were killed or frozen, and nobody passed on what its VMs said.
+    Its heads are killed or frozen, so that no head forwards the updates of its VMs.
     """
     heads = [name for name in fleet.heads() if name.startswith("gijon")]
     for name in heads if lost == "both" else heads[:1]:
@@ -110,11 +110,11 @@
     assert all_see_all(fleet)
 
 
-async def test_a_vm_that_restarts_moves_no_head(fleet):
-    """Heads change with each VM that is restarted, one a second in a rolling restart.
+async def test_a_restarted_vm_changes_no_head(fleet):
+    """Guards against heads that change with each VM of a rolling restart, one a second.
 
-    They were chosen by a hash over whoever lived, so that each that came or went could
-    move one; now a VM that registers anew goes to the end of the order.
+    If heads were chosen by a hash over the live VMs, each VM that starts or stops could
+    change one; in the order of registration a restarted VM goes to the end.
     """
     heads = fleet.heads()
     dialled = fleet.network.dialled
@@ -141,11 +141,11 @@
     assert len(fleet.heads()) == HEADS_PER_DATA_CENTRE * len(PLACES)
 
 
-async def test_most_vms_lose_their_power_at_once(fleet):
-    """Those that are left never find one another again.
+async def test_most_vms_fail_at_once(fleet):
+    """Guards against remaining VMs that never connect with one another again.
 
-    More than half of the VMs are gone, all that registered first among them, and a dial
-    to each takes until its time-out.
+    More than half of the VMs fail, including all with the oldest registrations, and a
+    dial to each of them takes until its time-out.
     """
     gone = sorted(fleet.vms)[: len(fleet.vms) * 6 // 10]
     gone = sorted(set(gone) | fleet.heads())
@@ -159,7 +159,7 @@
     assert all_see_all(fleet)
 
 
-async def test_a_leaving_vm_is_told_of_at_once(fleet):
+async def test_a_leaving_vm_is_reported_at_once(fleet):
     name = next(iter(set(fleet.vms) - fleet.heads()))
     fleet.leave(name)
     await fleet.settle(1.0)
@@ -167,9 +167,9 @@
 
 
 async def test_a_restarted_vm_that_knows_nobody_is_dialled_by_a_head(fleet):
-    """A VM that starts while the store is away serves nobody until the store is back.
+    """Guards against a VM that starts during a store outage and serves nobody in it.
 
-    It can't learn the addresses of the others, and none of them had dialled it since.
+    It can't learn the addresses of the others, so one of them has to dial it.
     """
     name = next(iter(set(fleet.vms) - fleet.heads()))
     place = fleet.vms[name].place
@@ -191,7 +191,7 @@
     assert all_see_all(fleet)
 
 
-async def test_a_fleet_that_outgrows_the_small_one():
+async def test_a_small_fleet_that_becomes_large():
     fleet = FakeFleet({"gijon": 12, "bilbao": 10})
     await fleet.settle()
     assert all_see_all(fleet)
--- a/hawthornlead/tests/test_watchers.py
+++ b/hawthornlead/tests/test_watchers.py
@@ -83,7 +83,7 @@
 
 @pytest.fixture
 async def store():
-    """A running stand-in."""
+    """A running stand-in of the store."""
     running = PlatformStore()
     running.start()
     yield running
@@ -151,7 +151,7 @@
     follower.stop()
 
 
-async def test_changes_without_essence_are_not_told(store):
+async def test_changes_without_effective_content_are_not_reported(store):
     timers = TimerService()
     network = LocalNetwork(timers)
     follower = Follower(network, timers, store, "a", lambda r: r.spec["n"] // 10)
@@ -163,7 +163,7 @@
     follower.stop()
 
 
-async def test_only_relays_watch_and_all_are_told(store):
+async def test_only_relays_watch_and_all_receive_changes(store):
     timers = TimerService()
     network = LocalNetwork(timers)
     store.write("things", "t", {"n": 1})
@@ -183,7 +183,7 @@
         follower.stop()
 
 
-async def test_a_missed_change_is_noticed_by_its_revision(store):
+async def test_a_missed_change_is_detected_by_its_revision(store):
     """Guards against a VM that serves an old configuration after a lost message."""
     timers = TimerService()
     network = LocalNetwork(timers)
@@ -200,7 +200,7 @@
     assert a.relays.is_relayed("things")
     await a.relays._on_heartbeat(sender, RelayHeartbeat((RelayedKind("things", 9, 9),)))
     assert not a.relays.is_relayed("things")
-    # What is told beyond a gap is taken, and closes no gap.
+    # Changes after a gap are applied, but do not close the gap.
     later = RelayedRecord("t", 11, '[{"n": 11}, null]')
     await a.relays._on_changes(sender, RelayedChanges("things", 9, 11, (later,)))
     assert a.seen == {"t": 11}
@@ -227,7 +227,7 @@
         follower.stop()
 
 
-async def test_a_vm_that_starts_while_the_store_is_away_learns_from_another(store):
+async def test_a_vm_that_starts_while_the_store_is_down_fetches_from_another(store):
     """A restarted VM refuses all requests for as long as the store is away.
 
     Its peers served on, with all that it lacked: configuration, targets, versions.
@@ -251,11 +251,11 @@
     new.stop()
 
 
-async def test_a_change_between_two_pages_of_a_listing_is_told(store):
-    """A VM never hears of a version that was named while it listed the versions.
+async def test_a_change_between_two_pages_of_a_listing_is_reported(store):
+    """Guards against a VM that misses a change made while it lists the objects.
 
-    The change was to an object of the first page, after that page was read; the watch
-    began where the last page was read.
+    The change is to an object of the first page, after that page was read. A watch from
+    the revision of the last page would not return it.
     """
     timers = TimerService()
     for number in range(5):
@@ -278,11 +278,10 @@
 
 
 async def test_a_relay_that_is_turned_away_is_not_trusted(store):
-    """Requests go to an engine for 5 s after it said that it leaves.
+    """Guards against requests to an engine for 5 s after it stated that it leaves.
 
-    The store stopped answering the two VMs that watch for all others, silently. Their
-    open watches looked well until their own time was over, and until then the two
-    vouched that nothing had changed.
+    The store silently stops answering the two relays. Their open watches look healthy
+    until their time-out, and until then the two would confirm that nothing changed.
     """
     timers = TimerService()
     network = LocalNetwork(timers)
@@ -307,7 +306,7 @@
         follower.stop()
 
 
-async def test_a_word_without_a_kind_takes_back_what_was_vouched_for(store):
+async def test_a_heartbeat_without_a_kind_withdraws_its_confirmation(store):
     timers = TimerService()
     network = LocalNetwork(timers)
     a = Follower(network, timers, store, "a")
