--- a/hawthornlead/gateway/__init__.py
+++ b/hawthornlead/gateway/__init__.py
@@ -1,8 +1,8 @@
-"""Serving on the users' platform: from a caller's request to a target's whole answer.
+"""The gateway on the users' platform: from a caller's request to a target's answer.
 
 The platform keeps configuration and targets in its own store. This package decides
-which target answers, who may order an adapter there, and what a caller is told; how
-all that is spelled on the wire stands in ``hawthornlead.platform`` alone.
+which target answers, which VM may order an adapter there, and what a caller receives.
+The wire formats are in ``hawthornlead.platform`` alone.
 
 May import: the common modules, mesh, fleet, decisions, platform.
 """
--- a/hawthornlead/gateway/__main__.py
+++ b/hawthornlead/gateway/__main__.py
@@ -1,8 +1,7 @@
 """Run the gateway of this VM: ``python -m hawthornlead.gateway``.
 
-The same as ``hawthornlead gateway``, with the settings file named by
-``HAWTHORNLEAD_SETTINGS``. A VM that starts is ready a quarter sooner without the
-command line.
+It does the same as ``hawthornlead gateway``, with the settings file named by
+``HAWTHORNLEAD_SETTINGS``. Without the command line a VM is ready a quarter sooner.
 """
 
 import gc
@@ -12,7 +11,7 @@
 from ..early_signals import hold_reloads
 
 hold_reloads(["gateway"])
-# Nothing that is made while the program is loaded is ever dropped.
+# Objects made while the program is loaded are never freed.
 gc.disable()
 
 from ..file_settings import effective_settings  # noqa: E402
--- a/hawthornlead/gateway/gateway_metrics.py
+++ b/hawthornlead/gateway/gateway_metrics.py
@@ -1,7 +1,7 @@
-"""Metrics of the gateway: what became of requests, how long things take, beliefs' age.
+"""Metrics of the gateway: outcomes of requests, durations, and the age of its state.
 
-Labels are few and fixed: no request, caller, target or adapter is one, so that their
-number doesn't grow with use.
+Labels are few and fixed: no request, caller, target or adapter is a label, so the
+number of time series doesn't grow with use.
 """
 
 from collections.abc import Callable
@@ -12,29 +12,29 @@
 
 
 class GatewayMetrics:
-    """All metrics of one gateway, in a registry that is served.
+    """All metrics of one gateway, in a registry for export.
 
     ::
 
-        metrics.ended.labels("served", "").inc()
+        metrics.requests.labels("served", "").inc()
         metrics.first_event.observe(0.21)
     """
 
     def __init__(self, registry: CollectorRegistry):
         self._registry = registry
-        self.ended = self._counter(
+        self.requests = self._counter(
             "hawthornlead_gateway_requests_total",
             "Requests by outcome and cause",
             ["outcome", "cause"],
         )
         self.attempts = self._counter(
             "hawthornlead_gateway_attempts_total",
-            "Attempts at targets by how they ended",
+            "Attempts at targets by outcome",
             ["ending"],
         )
         self.orders = self._counter(
             "hawthornlead_gateway_orders_total",
-            "Orders to engines by what came of them",
+            "Orders to engines by outcome",
             ["order", "outcome"],
         )
         self.store_calls = self._counter(
@@ -44,7 +44,7 @@
         )
         self.unreadable = self._counter(
             "hawthornlead_gateway_unreadable_records_total",
-            "Objects of the store that turned unreadable",
+            "Objects of the store that became unreadable",
             ["kind"],
         )
         self.losses = self._counter(
@@ -54,19 +54,19 @@
         )
         self.wrong_losses = self._counter(
             "hawthornlead_gateway_wrong_losses_total",
-            "Proofs after which the same start of the target answered",
+            "Proofs after which the same incarnation of the target answered",
             ["proof"],
         )
         self.probes = self._counter(
             "hawthornlead_gateway_target_probes_total",
-            "Questions to silent targets by what they found",
+            "Probes of silent targets by result",
             ["found"],
         )
         self.first_event = self._histogram(
             "hawthornlead_gateway_first_event_seconds",
             "From a request's arrival to its first event",
         )
-        self.gap = self._histogram(
+        self.longest_gap = self._histogram(
             "hawthornlead_gateway_longest_gap_seconds",
             "Longest pause between two events of a stream",
         )
@@ -85,8 +85,8 @@
             "hawthornlead_gateway_order_seconds", "Time of an order"
         )
 
-    def watch(self, name: str, text: str, read: Callable[[], float]) -> None:
-        """Serve a gauge whose value is read when it is asked for."""
+    def add_gauge(self, name: str, text: str, read: Callable[[], float]) -> None:
+        """Add a gauge whose value is read at each export."""
         gauge = Gauge(f"hawthornlead_gateway_{name}", text, registry=self._registry)
         gauge.set_function(read)
 
--- a/hawthornlead/gateway/gateway_parts.py
+++ b/hawthornlead/gateway/gateway_parts.py
@@ -1,7 +1,7 @@
-"""The parts of one gateway, built in three groups, and what a request needs of them.
+"""Construction of one gateway's parts in three groups, and the parts that requests use.
 
-Each group is handed the groups that it builds on, so that what depends on what can be
-read from the signatures; no part knows a group, only what it is handed::
+Each build function takes the groups that it depends on, so its signature shows the
+dependencies. A part never gets a whole group, only the parts that it uses::
 
     coordination = build_coordination(core, metrics)
     targets = build_targets(core, coordination, metrics)
@@ -42,13 +42,13 @@
 from .watch_relays import WatchRelays
 from .workspaces import WorkspaceTable
 
-# A VM that doesn't know how many there are takes so many for granted: too many, so that
-# all of them together stay below a quota.
+# The number of VMs that a VM assumes until it knows them: too many, so that all of them
+# together stay below a quota.
 ASSUMED_VMS = 400
 
 
 class Coordination(NamedTuple):
-    """What VMs agree by: the store, the mesh, who lives, who may order engines."""
+    """What VMs coordinate by: store, mesh, membership, and ownership of engines."""
 
     client: StoreClient
     mesh: FleetMesh
@@ -60,7 +60,7 @@
 
 
 class TargetParts(NamedTuple):
-    """What this VM knows of targets, its connections, and the engines it orders."""
+    """The state of targets, the connections to them, and the engines of this VM."""
 
     targets: TargetTable
     connections: TargetConnections
@@ -113,7 +113,7 @@
         self.configuration: Configuration | None = None
         self.routes: RouteTable | None = None
         self.workspaces = WorkspaceTable(None)
-        # Whether no newer configuration can be in force without this VM knowing.
+        # Whether this VM would know of any newer configuration in force.
         self.configuration_is_current: Callable[[], bool] = lambda: True
 
     def budget(self, service: str) -> Retries:
@@ -140,7 +140,7 @@
 
 
 def build_coordination(core: CoreParts, metrics: GatewayMetrics) -> Coordination:
-    """Build what VMs agree by."""
+    """Build what VMs coordinate by."""
     settings, timers, rng, events = core.settings, core.timers, core.rng, core.events
     vm, incarnation = settings["VM_NAME"], f"{rng.getrandbits(64):016x}"
     client = StoreClient(
@@ -211,7 +211,7 @@
 def build_targets(
     core: CoreParts, coordination: Coordination, metrics: GatewayMetrics
 ) -> TargetParts:
-    """Build what knows targets and orders those that this VM owns."""
+    """Build the state of targets, and the manager of the engines that this VM owns."""
     timers, memberships = core.timers, coordination.memberships
     targets = TargetTable(memberships=memberships, timers=timers, events=core.events)
     connections = TargetConnections(timers=timers)
@@ -239,7 +239,7 @@
     known: TargetParts,
     metrics: GatewayMetrics,
 ) -> GatewayParts:
-    """Build what the requests of callers go through."""
+    """Build the parts that serve the requests of callers."""
     timers, mesh = core.timers, coordination.mesh
     suspects = Suspects(
         settings=core.settings, timers=timers, events=core.events, mesh=mesh
@@ -270,7 +270,7 @@
         vms=lambda: coordination.memberships.registered_order.count or ASSUMED_VMS,
         incarnation=known.targets.incarnation,
     )
-    metrics.watch(
+    metrics.add_gauge(
         "limited_targets",
         "Targets that name a limit of requests a second",
         lambda: len(limits.named),
@@ -290,8 +290,8 @@
         run_times=run_times,
     )
 
-    def drop_former(former: TargetEntry, entry: TargetEntry) -> None:
-        """Drop what was noted of a target's start that is over."""
+    def discard_former(former: TargetEntry, entry: TargetEntry) -> None:
+        """Discard the state of a target's former incarnation."""
         known.connections.forget(former.address)
         known.healths.discard(former.target)
         known.loads.on_restarted(former.target)
@@ -300,7 +300,7 @@
         backoffs.discard(former.target)
         crash_watch.on_restarted(former)
 
-    known.targets.subscribe_restarts(drop_former)
+    known.targets.subscribe_restarts(discard_former)
     known.targets.subscribe(lambda lost, _: placer.discard(lost.target))
     known.targets.subscribe(lambda lost, _: limits.discard(lost.target))
     known.targets.subscribe(lambda lost, _: backoffs.discard(lost.target))
--- a/hawthornlead/gateway/gateways.py
+++ b/hawthornlead/gateway/gateways.py
@@ -1,4 +1,4 @@
-"""The process of one VM on the platform: its parts, their start, drain and stop.
+"""The gateway process of one VM: its parts, start, drain and stop.
 
 ::
 
@@ -42,26 +42,26 @@
 from .target_tables import effective_entry
 from .watchers import KindWatcher
 
-# What a VM that leaves needs to give its engines back: the end of an order and a call
-# of the store, which takes 1 s where it isn't answered.
-GIVE_BACK_S = 1.5
-# How long callers keep an answer with addresses. A short time lets them leave a VM that
-# stopped soon.
-KEEP_ANSWER_S = 1.0
-SWEEP_S = 0.25
-# Entries of targets change with each adapter that comes or goes, several times a
-# second. A leaving target must be heeded within 2 s.
-TARGETS_PAUSE_S = 0.3
+# The time that a draining VM needs to release its engines: the end of an order, and a
+# call of the store, which takes 1 s if it isn't answered.
+RELEASE_TIMEOUT_S = 1.5
+# How long callers cache an answer with addresses. After this time they stop using a VM
+# that has stopped.
+ADDRESSES_TTL_S = 1.0
+SWEEP_INTERVAL_S = 0.25
+# Entries of targets change with each loaded or evicted adapter, several times a second.
+# A leaving target must be noticed within 2 s.
+TARGETS_BATCH_S = 0.3
 # All VMs register at once when the system starts.
-VMS_PAUSE_S = 0.2
-# The largest body that is taken: the platform's own limit is smaller.
+VMS_BATCH_S = 0.2
+# The largest accepted body: the platform's own limit is smaller.
 MAX_BODY_BYTES = 16 << 20
 MAX_HEADER_BYTES = 64 << 10
-# Objects that are made before the youngest are looked through. A request makes some
-# thousand, most of which go with it.
+# Allocations before the youngest generation is collected. A request makes some thousand
+# objects, most of which are freed with it.
 GC_THRESHOLD = 10_000
-# Longer than callers may stay idle by the configuration.
-IDLE_S = 30.0
+# Longer than any idle time that the configuration allows callers.
+IDLE_TIMEOUT_S = 30.0
 
 
 class Gateway:
@@ -86,11 +86,11 @@
         self._engine_manager = targets.engine_manager
         self._parts = build_requests(core, coordination, targets, metrics)
         self._callers = CallerDispatcher(self._serve, core.timers.now)
-        self._watch_beliefs(metrics, targets.loads)
+        self._add_gauges(metrics, targets.loads)
         self._drain = Drain(
             timers=core.timers,
             grace_s=settings["GRACE_S"],
-            readiness_ttl_s=KEEP_ANSWER_S,
+            readiness_ttl_s=ADDRESSES_TTL_S,
             open_requests=lambda: self._callers.open,
         )
         self._fleet_view = FleetView(
@@ -110,17 +110,17 @@
         self._parts.configuration_is_current = lambda: configurations.current
         self._server = HTTPServer(
             self._callers,
-            idle_connection_timeout=IDLE_S,
+            idle_connection_timeout=IDLE_TIMEOUT_S,
             max_header_size=MAX_HEADER_BYTES,
             max_body_size=MAX_BODY_BYTES,
         )
         self._query_servers = self._make_query_servers()
         self._mesh.set_heartbeat(self._heartbeat)
         self._mesh.on(Hello, self._on_hello)
-        self._mesh.on_upstream_changed = self._note_feed
+        self._mesh.on_upstream_changed = self._on_upstream_changed
 
     async def start(self) -> None:
-        """Listen, and begin to learn from the store and the other VMs."""
+        """Listen, and start to follow the store and the other VMs."""
         host, _, port = self._settings["CALLER_ADDRESS"].rpartition(":")
         self._server.add_sockets(bind_sockets(int(port), host))
         for server in self._query_servers:
@@ -132,21 +132,21 @@
             watcher.start()
         self._relays.start()
         self._engine_manager.start()
-        self._timers.every(SWEEP_S, self._sweep, name="sweep")
+        self._timers.every(SWEEP_INTERVAL_S, self._sweep, name="sweep")
         self._emit(EventKind.PROCESS_STARTED)
 
     async def drain(self) -> None:
-        """Leave the answers, give the engines back, and serve what still comes."""
+        """Leave the entry addresses, release the engines, and finish requests."""
         self._emit(EventKind.PROCESS_DRAINING, open=self._callers.open)
         self._drain.start()
         self._memberships.leave()
-        await self._engine_manager.stop(self._drain.end_at - GIVE_BACK_S)
+        await self._engine_manager.stop(self._drain.end_at - RELEASE_TIMEOUT_S)
         await self._drain.wait()
         self._server.stop()
         await self._drain.settle()
 
     def stop(self) -> None:
-        """End everything; what is still open is cut off."""
+        """Stop everything, and abort open requests."""
         self._emit(EventKind.PROCESS_STOPPED, open=self._callers.open)
         self._server.stop()
         for server in self._query_servers:
@@ -163,7 +163,7 @@
         self._client.close()
 
     def write_events(self, write: EventWriter) -> None:
-        """Let ``write`` write this VM's events."""
+        """Write this VM's events with ``write``."""
         self._events.write = write
 
     def reload(self, path: str) -> None:
@@ -178,7 +178,7 @@
     def _emit(self, kind: EventKind, **fields) -> None:
         self._events.emit(kind, self._settings["VM_NAME"], **fields)
 
-    # Requests and questions
+    # Requests and queries
 
     async def _serve(self, call: CallerCall) -> None:
         call.closing = self._drain.draining
@@ -203,7 +203,10 @@
         ):
             if address:
                 queries.setdefault(address, {})[path] = query
-        return [QueryServer(at, asked, now) for at, asked in queries.items()]
+        return [
+            QueryServer(at, stop_requested, now)
+            for at, stop_requested in queries.items()
+        ]
 
     def _ready(self) -> Reply:
         return Reply(200 if self._memberships.serving else 503, b"{}")
@@ -211,22 +214,22 @@
     def _resolve(self) -> Reply:
         addresses = self._memberships.entry_addresses()
         status = 200 if addresses else 503
-        return Reply(status, addresses_body(addresses, KEEP_ANSWER_S))
+        return Reply(status, addresses_body(addresses, ADDRESSES_TTL_S))
 
     def _read_metrics(self) -> Reply:
         return Reply(200, generate_latest(self._metrics.registry), "text/plain")
 
-    # Beliefs
+    # Observed state
 
-    def _watch_beliefs(self, metrics: GatewayMetrics, loads: TargetLoads) -> None:
-        """Serve what this VM believes, and how old it is."""
+    def _add_gauges(self, metrics: GatewayMetrics, loads: TargetLoads) -> None:
+        """Add gauges for this VM's observed state and its age."""
         now = self._timers.now
-        metrics.watch(
+        metrics.add_gauge(
             "store_answer_age_seconds",
             "Since the store last answered a call",
             lambda: now() - self._client.answered_at,
         )
-        metrics.watch(
+        metrics.add_gauge(
             "configuration_version",
             "The version of the configuration in force, 0 for none",
             self._configuration_version,
@@ -240,11 +243,11 @@
                 lambda: self._engine_manager.owned,
             ),
         ):
-            metrics.watch(name, text, lambda read=read: len(read()))
-        metrics.watch(
+            metrics.add_gauge(name, text, lambda read=read: len(read()))
+        metrics.add_gauge(
             "open_requests", "Requests being answered", lambda: self._callers.open
         )
-        metrics.watch(
+        metrics.add_gauge(
             "running_requests", "Own requests on targets", lambda: loads.own_total
         )
 
@@ -267,14 +270,14 @@
             "relays": self._relays,
             "metrics": metrics,
         }
-        # Of an unreadable configuration or version, what was known before stays in
-        # force; none goes back.
+        # If a configuration or version becomes unreadable, the last one stays in force:
+        # none is rolled back.
         return {
             CONFIGURATION_KIND: KindWatcher(
                 CONFIGURATION_KIND,
                 **common,
-                on_changed=self._take_configuration,
-                on_deleted=self._keep_configuration,
+                on_changed=self._on_configuration,
+                on_deleted=self._on_configuration_deleted,
                 fetched=True,
             ),
             TARGETS_KIND: KindWatcher(
@@ -284,7 +287,7 @@
                 on_deleted=targets.remove_entry,
                 on_unreadable=targets.remove_unreadable,
                 effective_content=effective_entry,
-                pause_s=TARGETS_PAUSE_S,
+                pause_s=TARGETS_BATCH_S,
                 fetched=True,
             ),
             VERSIONS_KIND: KindWatcher(
@@ -300,11 +303,11 @@
                 on_changed=memberships.apply_record,
                 on_deleted=memberships.remove,
                 on_unreadable=memberships.on_unreadable_record,
-                pause_s=VMS_PAUSE_S,
+                pause_s=VMS_BATCH_S,
             ),
         }
 
-    def _take_configuration(self, record: StoredRecord) -> None:
+    def _on_configuration(self, record: StoredRecord) -> None:
         if record.name != CONFIGURATION_NAME:
             return
         configuration = read_configuration(record)
@@ -323,7 +326,7 @@
         self._engine_manager.apply_configuration(configuration)
         self._sweep()
 
-    def _keep_configuration(self, name: str) -> None:
+    def _on_configuration_deleted(self, name: str) -> None:
         self._events.emit(EventKind.CONFIGURATION_KEPT, name)
 
     def _sweep(self) -> None:
@@ -338,7 +341,7 @@
         leaving = self._memberships.leaving
         return Heartbeat(0, 0, leaving, self._callers.open, capacity, 0.0)
 
-    def _note_feed(self, head: str) -> None:
+    def _on_upstream_changed(self, head: str) -> None:
         self._emit(EventKind.FEED_CHANGED, head=head)
 
     async def _on_hello(self, sender, message: Hello) -> None:
@@ -348,7 +351,7 @@
 def run_gateway(
     settings: Settings, path: str, write_event: EventWriter | None = None
 ) -> None:
-    """Run the gateway until it is asked to stop, then drain and stop it.
+    """Run the gateway until a signal, then drain and stop it.
 
     ``write_event`` writes its events; None leaves them to loguru.
     """
@@ -360,17 +363,17 @@
     gateway = Gateway(settings)
     if write_event is not None:
         gateway.write_events(write_event)
-    asked = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, asked.set)
+        loop.add_signal_handler(number, stop_requested.set)
     loop.add_signal_handler(signal.SIGHUP, lambda: gateway.reload(path))
     await gateway.start()
-    # What the start has made lives as long as the process. Each full collection
-    # would look through it and hold up every stream meanwhile.
+    # Objects made at the start live as long as the process. Without the freeze, each
+    # full collection would traverse them and delay every stream.
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD)
     gc.enable()
-    await asked.wait()
+    await stop_requested.wait()
     await gateway.drain()
     gateway.stop()
--- a/hawthornlead/gateway/request_reporters.py
+++ b/hawthornlead/gateway/request_reporters.py
@@ -88,7 +88,7 @@
         if relay is not None and relay.first_at is not None:
             first_ms = round(1000 * (relay.first_at - arrived_at))
             self._parts.metrics.first_event.observe(relay.first_at - arrived_at)
-            self._parts.metrics.gap.observe(relay.longest_gap_s)
+            self._parts.metrics.longest_gap.observe(relay.longest_gap_s)
             gap_ms = round(1000 * relay.longest_gap_s)
         self._count("served", "")
         self._emit(
@@ -140,7 +140,7 @@
         self._parts.events.emit(kind, self._request.request_id, **fields)
 
     def _count(self, outcome: str, cause: str) -> None:
-        self._parts.metrics.ended.labels(outcome, cause).inc()
+        self._parts.metrics.requests.labels(outcome, cause).inc()
 
     def _since_ms(self, at: float) -> int:
         return round(1000 * (self._parts.timers.now() - at))
