--- a/hawthornlead/tests/fakes_claims.py
+++ b/hawthornlead/tests/fakes_claims.py
@@ -1,4 +1,4 @@
-"""A few VMs with claims over one store in memory, in one process."""
+"""Several VMs with claims over one store in memory, in one process."""
 
 import asyncio
 import random
@@ -15,7 +15,7 @@
 
 
 class ClaimVm:
-    """One VM: its store client, claims, and the mesh and members as it sees them."""
+    """One VM: its store client and claims; also acts as its mesh and members."""
 
     def __init__(self, fleet: "ClaimFleet", name: str, incarnation: str):
         self.fleet = fleet
@@ -42,11 +42,11 @@
         self.claims.start()
 
     def on(self, message_type, handler):
-        """Enter a handler, as the mesh does."""
+        """Register a handler, as the mesh does."""
         self.handlers[message_type] = handler
 
     async def call(self, vm, message, timeout_s=None):
-        """Call another VM; one that is cut off or gone does not answer."""
+        """Call another VM; one that is disconnected or gone does not answer."""
         other = self.fleet.vms.get(vm)
         silent = Err(Failure(ErrorKind.PEER_UNAVAILABLE, f"{vm} does not answer"))
         if other is None or self.cut:
@@ -57,7 +57,7 @@
         working = other.handlers[type(message)](self, message)
         reply = await working
         if other.cut or self.cut or self.fleet.vms.get(vm) is not other:
-            # The handler's work is done and its reply is lost.
+            # The handler has run, but its reply is lost.
             return silent
         if isinstance(reply, Failed):
             kind = ErrorKind(reply.kind)
@@ -69,12 +69,12 @@
         return tuple(self.fleet.vms)
 
     def proof_gone(self, vm, incarnation):
-        """Return a proof where a VM's process has ended."""
+        """Return a proof if a VM's process has ended."""
         return "refused" if (vm, incarnation) in self.fleet.gone else None
 
 
 class ClaimFleet:
-    """VMs ``vm-1``, ``vm-2``, ... over one store; time is moved by hand."""
+    """VMs ``vm-1``, ``vm-2``, ... over one store; tests advance the time."""
 
     def __init__(self, count: int = 3, **overrides):
         self.overrides = {"CLAIM_RANGES": 1, **overrides}
@@ -93,7 +93,7 @@
         return self.vms[name]
 
     def kill(self, name: str) -> None:
-        """End a VM's process at once; what it owed is lost."""
+        """End a VM's process at once; its unrecorded outcomes are lost."""
         vm = self.vms.pop(name)
         self.gone.add((name, vm.incarnation))
         vm.cut = True
@@ -101,7 +101,7 @@
         vm.claims._subscription.cancel()
 
     async def finish(self, *coroutines):
-        """Move time until all coroutines have ended; return what they returned."""
+        """Advance time until all coroutines have ended; return their results."""
         working = asyncio.gather(*coroutines)
         for _ in range(5000):
             if working.done():
--- a/hawthornlead/tests/test_claim_ranges.py
+++ b/hawthornlead/tests/test_claim_ranges.py
@@ -1,4 +1,4 @@
-"""Tests of one range of claims: sealing its head, and how long claims are kept."""
+"""Tests of one range of claims: sealing and retention."""
 
 import pytest
 from result import Err
@@ -30,8 +30,8 @@
     await fleet.timers.advance(0.1)
 
 
-async def test_sealed_claims_stand_and_take_their_outcome(fleet):
-    """A claim is sealed while its request runs; then its outcome comes."""
+async def test_sealed_claims_stay_and_get_their_outcome(fleet):
+    """A claim is sealed while its request runs, before its outcome is recorded."""
     assert await fleet.state(FIRST, "k", "a1") == "new"
     await seal(fleet)
     head = fleet.objects.get(HEADS, "0").value
@@ -44,7 +44,7 @@
 
 
 async def test_two_vms_seal_one_head_at_once(fleet):
-    """Two VMs that write directly see the same full head and both seal it."""
+    """Two VMs that write directly both seal the same full head."""
     for vm in fleet.vms.values():
         vm.cut = True
     await fleet.finish(
@@ -66,8 +66,8 @@
 async def test_claim_committed_while_another_vm_seals(fleet):
     """One VM seals a head; another commits a claim between its two writes.
 
-    A head emptied without looking would lose that claim, and its request would run
-    a second time.
+    If sealing emptied the head unconditionally, that claim would be lost, and its
+    request would run a second time.
     """
     store = fleet.vms[COMMITTER].store
     put = store._put
@@ -80,7 +80,7 @@
         outcome = await put(kind, *args)
         if kind == SEGMENTS and not between:
             between.append(fleet.vms[FIRST].claims._ranges[0])
-            # The other one is killed before it seals the full head itself.
+            # Act as if the other VM were killed before it seals the full head.
             between[0]._seal = no_seal
             claim = Claim("gijon", "k", b"f", "a1", FIRST, "start-1")
             between.append(await between[0].submit(claim))
@@ -95,35 +95,35 @@
     assert filled.ok_value.state == "running"
 
 
-async def test_write_in_doubt_that_lands_after_the_claim_was_given_back(fleet):
-    """A claim's write is held up on its way to the store, which seems down.
+async def test_uncertain_write_that_arrives_after_the_claim_was_released(fleet):
+    """A claim's write is delayed in transit to the store, which seems down.
 
-    The request is refused and its claim given back. Then the old write arrives: it
-    must not take the key, or nobody would ever free it.
+    The request is refused and its claim released. Then the old write arrives: if it
+    took the key, nothing would ever release it.
     """
     vm = fleet.vms[COMMITTER]
     put = vm.store._put
-    held = []
+    delayed = []
 
-    async def hold_up(*args):
-        held.append(args)
+    async def delay_write(*args):
+        delayed.append(args)
         vm.store.outage = True
         return Err(unavailable("store: no reply", True))
 
-    vm.store._put = hold_up
+    vm.store._put = delay_write
     assert await fleet.state(COMMITTER, "k", "a1") == "store-unavailable"
     vm.store._put = put
     vm.store.outage = False
     await fleet.timers.advance(3)
-    assert (await put(*held[0])).err_value.kind is ErrorKind.VERSION_CONFLICT
+    assert (await put(*delayed[0])).err_value.kind is ErrorKind.VERSION_CONFLICT
     assert await fleet.state(SECOND, "k", "a2") == "new"
 
 
-async def test_claims_are_kept_for_their_time_and_then_forgotten():
-    """A caller sends an old key again after the claims' retention.
+async def test_claims_are_kept_for_their_retention_and_then_removed():
+    """A caller sends an old key again within and after the claims' retention.
 
-    Within it the key is refused, however long its segment has been sealed;
-    afterwards it is new, and nothing of it is left in the store.
+    Within it the key is refused, however long its segment has been sealed. Afterwards
+    the key is new, and its segment is deleted.
     """
     fleet = ClaimFleet(CLAIM_KEEP_S=600.0)
     assert await fleet.state(FIRST, "k", "a1") == "new"
@@ -135,7 +135,7 @@
     assert fleet.objects.list(SEGMENTS).items == ()
 
 
-async def test_quiet_head_is_sealed_by_age_and_forgotten():
+async def test_small_head_is_sealed_by_age_and_removed():
     fleet = ClaimFleet(CLAIM_KEEP_S=600.0)
     assert await fleet.state(FIRST, "k", "a1") == "new"
     for minute in range(20):
--- a/hawthornlead/tests/test_claims.py
+++ b/hawthornlead/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims: at most once, whatever fails between claim and outcome."""
+"""Tests that claims allow at most one run, whatever fails before the outcome."""
 
 import asyncio
 
@@ -21,10 +21,10 @@
 
 
 async def test_a_second_try_meets_the_first_at_another_vm(fleet):
-    """A gateway gets no answer in time and sends its lap crossing to another VM.
+    """A caller gets no answer in time and retries through another VM.
 
-    The first try still runs: the second must not run beside it. Once the first has
-    ended, the second gets the first's answer.
+    The first try still runs, so the second must not run. Once the first has ended, a
+    later try gets its answer.
     """
     assert await fleet.state(FIRST, "lap-81", "a1") == "new"
     assert await fleet.state(SECOND, "lap-81", "a2") == "running"
@@ -39,7 +39,7 @@
 
 
 async def test_two_tries_at_once_one_is_new(fleet):
-    """Two tries of one request come to two VMs at the same moment."""
+    """Tries of one request arrive at all VMs at the same time."""
     claims = [
         fleet.vms[vm].claims.claim("gijon", "k", b"f", f"a-{vm}") for vm in fleet.vms
     ]
@@ -57,10 +57,10 @@
 
 
 async def test_vm_killed_between_claim_and_outcome(fleet):
-    """A VM is killed after it claimed; whether it sent the request nobody knows.
+    """A VM is killed after its claim, and it is unknown whether it sent the request.
 
-    The caller's second try must be told 'may have run', on every VM and for as
-    long as the claim is kept, and must never run.
+    Later tries must be answered 'may have run' on every VM while the claim is kept,
+    and must never run.
     """
     assert await fleet.state(FIRST, "k", "a1") == "new"
     fleet.kill(FIRST)
@@ -87,11 +87,11 @@
 
 
 async def test_store_outage_refuses_as_not_run_and_frees_the_key_after(fleet):
-    """The store is down when a filing comes, and back a little later.
+    """The store is down when a request arrives, and back a little later.
 
-    The filing is refused as 'not run' with the time to come back. The write may
-    have taken effect all the same, so the claim is given back when the store
-    answers: the caller's next try runs.
+    The request is refused as 'not run' with a time to retry. Its write may still have
+    taken effect, so the claim is released when the store answers, and the caller's
+    next try runs.
     """
     fleet.objects.outage = True
     refused = (await fleet.claim(FIRST, "k", "a1")).err_value
@@ -104,11 +104,11 @@
     assert await fleet.state(SECOND, "k", "a2") == "new"
 
 
-async def test_refused_claim_whose_write_took_effect_is_given_back(fleet):
+async def test_refused_claim_whose_write_took_effect_is_released(fleet):
     """A claim's write takes effect, its reply is lost and the store goes down.
 
-    The request was refused as 'not run'. The claim stands in the store until its
-    VM frees it; a key that stayed taken would never be served again.
+    The request was refused as 'not run', but its claim is in the store until the VM
+    releases it. Otherwise the key would stay taken.
     """
     vm = fleet.vms[COMMITTER]
     vm.store.lose_next_reply = 1
@@ -129,10 +129,10 @@
 
 
 async def test_lost_reply_of_a_claim_that_took_effect(fleet):
-    """The store wrote the claim and its reply was lost.
+    """The store wrote the claim, but its reply was lost.
 
-    Written again blindly, the VM would meet its own claim and refuse its own
-    request as a duplicate. It reads back and recognises its write.
+    If the VM wrote again without reading, it would find its own claim and refuse its
+    request as a duplicate. It reads back and recognizes its write.
     """
     fleet.vms[COMMITTER].store.lose_next_reply = 1
     assert await fleet.state(FIRST, "k", "a1") == "new"
@@ -140,9 +140,9 @@
 
 
 async def test_lost_reply_of_a_write_over_the_known_head(fleet):
-    """The committing VM writes over the head it knows, and the reply is lost.
+    """The committing VM writes over its known head, and the reply is lost.
 
-    It reads the head, finds the claim there, and must not take it for another's.
+    It reads the head, finds the claim, and must recognize it as its own.
     """
     assert await fleet.state(FIRST, "k1", "a1") == "new"
     reads = fleet.objects.reads
@@ -153,11 +153,11 @@
     assert await fleet.state(SECOND, "k3", "a4") == "running"
 
 
-async def test_no_answer_hangs_on_an_old_head(fleet):
-    """Another VM frees a key directly, unseen by the VM that commits.
+async def test_no_answer_depends_on_an_outdated_head(fleet):
+    """Another VM releases a key directly, unnoticed by the committing VM.
 
-    The committing VM still knows the claim as running. It has nothing to write, so
-    that no conditional update would tell it: it must read before it answers.
+    The committing VM still knows the claim as running. It has nothing to write, so no
+    conditional update reveals the change: it must read before it answers.
     """
     assert await fleet.state(COMMITTER, "k", "a1") == "new"
     fleet.vms[FIRST].cut = True
@@ -166,9 +166,9 @@
 
 
 async def test_the_committing_vm_is_silent(fleet):
-    """The VM that commits for a range freezes: claims go past it directly.
+    """The committing VM of a range freezes, so claims are written directly.
 
-    Each claim must not wait for it again, and both writers stay safe.
+    Later claims must not wait for it again, and concurrent writers must stay safe.
     """
     fleet.vms[COMMITTER].cut = True
     assert await fleet.state(FIRST, "k", "a1") == "new"
@@ -179,9 +179,9 @@
 
 
 async def test_reply_of_the_committing_vm_is_lost(fleet):
-    """The committing VM wrote the claim and is cut off before it replies.
+    """The committing VM wrote the claim and is disconnected before it replies.
 
-    The claimer writes directly and meets its own claim: it is still its own.
+    The claimer writes directly, finds the claim, and must recognize it as its own.
     """
     committer = fleet.vms[COMMITTER]
     handlers = dict(committer.handlers)
@@ -197,9 +197,9 @@
 
 
 async def test_delayed_claim_does_not_take_a_freed_key_again(fleet):
-    """A claim message is held up until its request has been refused and freed.
+    """A claim message is delayed until its request was refused and its key released.
 
-    Taking the key then would leave it taken for ever: nobody would free it.
+    If it took the key then, nothing would ever release it.
     """
     assert await fleet.state(FIRST, "k", "a1") == "new"
     await fleet.record(FIRST, "k", "a1", "not_run")
@@ -207,8 +207,8 @@
     assert await fleet.state(SECOND, "k", "a2") == "new"
 
 
-async def test_cancelled_claim_is_given_back(fleet):
-    """A caller leaves while its claim is being written."""
+async def test_cancelled_claim_is_released(fleet):
+    """A caller disconnects while its claim is being written."""
     task = asyncio.ensure_future(
         fleet.vms[FIRST].claims.claim("gijon", "k", b"f", "a1")
     )
@@ -219,9 +219,9 @@
 
 
 async def test_outcome_is_recorded_after_an_outage(fleet):
-    """The store goes down while a filing runs; its outcome can't be recorded.
+    """The store goes down while a request runs, so its outcome can't be recorded.
 
-    Until the store is back, tries are refused; afterwards they get the outcome.
+    Tries are refused until the store is back, and then get the outcome.
     """
     assert await fleet.state(FIRST, "k", "a1") == "new"
     fleet.objects.outage = True
@@ -246,8 +246,8 @@
 class ClaimMachine(RuleBasedStateMachine):
     """Tries of a few keys through three VMs, with faults in between.
 
-    The judge counts the runs that each key was allowed and did not give back:
-    never more than one.
+    Checks that each key never has more than one attempt that was allowed to run and
+    was not recorded as not run.
     """
 
     def __init__(self):
@@ -273,13 +273,13 @@
         key=st.sampled_from(["k1", "k2"]),
     )
     def claim_at_once(self, vms, key):
-        asked = []
+        tries = []
         for vm in vms:
             self.attempts += 1
-            asked.append((self.fleet.vms[vm], key, f"a{self.attempts}"))
-        claims = [vm.claims.claim("c", key, b"f", name) for vm, key, name in asked]
+            tries.append((self.fleet.vms[vm], key, f"a{self.attempts}"))
+        claims = [vm.claims.claim("c", key, b"f", name) for vm, key, name in tries]
         claimed = self.run(self.fleet.finish(*claims))
-        for one, answer in zip(asked, claimed, strict=True):
+        for one, answer in zip(tries, claimed, strict=True):
             if answer.is_ok() and answer.ok_value.state == "new":
                 self.ran.setdefault(key, set()).add(one[2])
                 self.running.append(one)
@@ -290,7 +290,7 @@
             return
         vm, key, name = self.running.pop(0)
         if outcome == "not_run":
-            # From the moment that it is recorded as not run, another may run.
+            # Once it is recorded as not run, another attempt may run.
             self.ran[key].discard(name)
         self.run(self.fleet.finish(vm.claims.record("c", key, name, outcome)))
 
--- a/hawthornlead/tests/test_request_claims.py
+++ b/hawthornlead/tests/test_request_claims.py
@@ -1,4 +1,4 @@
-"""Tests of keys as requests claim them: their age, and what refusals may say."""
+"""Tests of claims of requests: the age of keys, and what refusals may state."""
 
 import pytest
 
@@ -16,7 +16,7 @@
     return ClaimFleet(2, CLAIM_KEEP_S=KEEP_S)
 
 
-def path(fleet, vm):
+def make_claims(fleet, vm):
     return RequestClaims(
         settings=default_settings(CLAIM_KEEP_S=KEEP_S),
         timers=fleet.timers,
@@ -29,36 +29,36 @@
     return Keyed("gijon", "lap-81", b"f", request_id, issued_at)
 
 
-async def claim(fleet, vm, asked):
-    (claimed,) = await fleet.finish(path(fleet, vm).claim(asked))
+async def claim(fleet, vm, keyed_try):
+    (claimed,) = await fleet.finish(make_claims(fleet, vm).claim(keyed_try))
     return claimed
 
 
-async def record(fleet, vm, asked, outcome):
-    await fleet.finish(path(fleet, vm).record(asked, outcome))
+async def record(fleet, vm, keyed_try, outcome):
+    await fleet.finish(make_claims(fleet, vm).record(keyed_try, outcome))
 
 
 async def test_a_key_older_than_claims_are_kept_does_not_run(fleet):
-    """A gateway was cut off for long and sends its lap crossing again.
+    """A caller was disconnected for long and sends its request again.
 
-    Its first try ran, and what became of it has been forgotten: the key looks new,
-    and the crossing would be counted twice. The age that the caller tells refuses it.
+    The first try ran, and its claim has been removed: the key looks new, and the
+    request would run twice. It is refused by the age that the caller states.
     """
     old = await claim(fleet, "vm-1", keyed("r1", KEEP_S + 5, fleet))
     assert old.err_value.kind is ErrorKind.DUPLICATE_UNKNOWN
     assert old.err_value.answer.ran is Ran.MAY_HAVE_RUN
     assert old.err_value.claim_read
-    # Nothing of it stands in the way of the caller's choice to run it after all.
+    # Without an age the caller can still choose to run it.
     assert (await claim(fleet, "vm-2", keyed("r2"))).ok_value.state == "new"
 
 
 async def test_the_age_is_read_after_the_claim(fleet):
     """A process is frozen between reading a key's age and reading its claim.
 
-    The claim is forgotten in between; the age read before would still be young.
+    The claim expires in between, while the age read before is still below the limit.
     """
-    asked = keyed("r1", KEEP_S * 0.8, fleet)
-    claims = path(fleet, "vm-1")
+    keyed_try = keyed("r1", KEEP_S * 0.8, fleet)
+    claims = make_claims(fleet, "vm-1")
     write = claims._claims.claim
 
     async def frozen(*arguments):
@@ -66,7 +66,7 @@
         return await write(*arguments)
 
     claims._claims.claim = frozen
-    (claimed,) = await fleet.finish(claims.claim(asked))
+    (claimed,) = await fleet.finish(claims.claim(keyed_try))
     assert claimed.err_value.kind is ErrorKind.DUPLICATE_UNKNOWN
 
 
@@ -78,10 +78,10 @@
     assert not future.err_value.claim_read
 
 
-async def test_without_the_store_nothing_is_said_of_other_tries(fleet):
-    """The first try runs, the store goes out, and the caller tries again.
+async def test_without_the_store_refusals_state_nothing_of_other_tries(fleet):
+    """The first try runs, the store fails, and the caller tries again.
 
-    The second try is refused as "not run", which is true of itself alone.
+    The second try is refused as "not run", which holds only for itself.
     """
     assert (await claim(fleet, "vm-1", keyed("r1"))).is_ok()
     fleet.vms["vm-2"].store.outage = True
@@ -95,10 +95,10 @@
 
 
 async def test_not_run_is_recorded_on_the_own_claim_only(fleet):
-    """An older try wakes after a later one claimed the key, and is refused.
+    """An older try resumes after a later one claimed the key, and is refused.
 
-    Were its "not run" recorded, it would free the key under the try that runs, and
-    a third would run beside it.
+    If its "not run" were recorded, it would release the key while the later try
+    runs, and a third would run concurrently.
     """
     older, later = keyed("r1"), keyed("r2")
     assert (await claim(fleet, "vm-1", older)).is_ok()
