--- a/hawthornlead/tests/test_gateways.py
+++ b/hawthornlead/tests/test_gateways.py
@@ -255,7 +255,7 @@
 async def test_after_a_restart_of_all_what_engines_hold_is_served_at_once():
     """Every request for an adapter is refused for a second after all VMs restarted.
 
-    The engines still held their adapters, but no owner had claimed them yet and told.
+    The engines still held their adapters, but no owner had claimed or reported them yet.
     """
     async with Deployment(vms=1) as deployment:
         assert (await deployment.ask("/stream/x", Model=f"{MODEL}/a1")).status == 200
@@ -264,7 +264,7 @@
         gateway = deployment.gateways[0]
         targets = gateway._targets
         for engine in deployment.engines:
-            targets._beliefs.pop(engine.target, None)
+            targets._observed.pop(engine.target, None)
         entries = [read_target_of(engine) for engine in deployment.engines]
         service = gateway._parts.configuration.service("llm")
         key = AdapterKey(MODEL, "a1")
--- a/hawthornlead/tests/test_leaving_targets.py
+++ b/hawthornlead/tests/test_leaving_targets.py
@@ -9,8 +9,8 @@
 
 async def send_batch(deployment, vm, path, method, **headers):
     """Send some requests at the same time, so that they go to all targets."""
-    asking = [deployment.ask(path, method, vm, **headers) for _ in range(BATCH)]
-    return await asyncio.gather(*asking)
+    sending = [deployment.ask(path, method, vm, **headers) for _ in range(BATCH)]
+    return await asyncio.gather(*sending)
 
 
 async def test_a_target_that_says_it_leaves_gets_no_more_requests_without_the_store():
--- a/hawthornlead/tests/test_limit_words.py
+++ b/hawthornlead/tests/test_limit_announcements.py
@@ -1,4 +1,4 @@
-"""Tests of what VMs tell one another of the limits that targets name."""
+"""Tests of the announcements between VMs of limits that targets name."""
 
 from random import Random
 
@@ -18,8 +18,8 @@
 ENGINE = Incarnation("e1", 1000)
 
 
-class Told:
-    """A mesh that keeps what is told to all."""
+class RecordingMesh:
+    """A mesh that records broadcasts."""
 
     def __init__(self):
         self.sent = []
@@ -37,7 +37,7 @@
 
     def __init__(self):
         self.timers = ManualTimerService()
-        self.mesh = Told()
+        self.mesh = RecordingMesh()
         self.limits = TargetLimits(
             timers=self.timers,
             rng=Random(1),
@@ -47,10 +47,10 @@
             incarnation=lambda target: ENGINE,
         )
 
-    def answer(self, per_s, asked_s_ago=0.0):
-        self.limits.record_answer(ENGINE, per_s, self.timers.now() - asked_s_ago)
+    def answer(self, per_s, sent_s_ago=0.0):
+        self.limits.record_answer(ENGINE, per_s, self.timers.now() - sent_s_ago)
 
-    async def hear(self, per_s, started_ms=1000):
+    async def receive(self, per_s, started_ms=1000):
         message = TargetLimit("e1", per_s, started_ms)
         await self.mesh.handlers[TargetLimit](None, message)
 
@@ -60,7 +60,7 @@
     return Vm()
 
 
-async def test_a_limit_is_told_at_once_and_again_while_it_is_named(vm):
+async def test_a_limit_is_announced_at_once_and_again_while_it_is_named(vm):
     vm.answer(3.3)
     vm.answer(3.3)
     assert vm.mesh.sent == [TargetLimit("e1", 3.3, 1000)]
@@ -71,8 +71,8 @@
     assert vm.mesh.sent[-1].per_s == 2.2
 
 
-async def test_what_another_vm_has_just_told_is_not_told_again(vm):
-    await vm.hear(3.3)
+async def test_what_another_vm_has_just_announced_is_not_announced_again(vm):
+    await vm.receive(3.3)
     vm.answer(3.3)
     assert vm.limits.named == {"e1": 3.3}
     assert vm.mesh.sent == []
@@ -86,14 +86,14 @@
     assert vm.mesh.sent[-1] == TargetLimit("e1", None, 1000)
 
 
-async def test_an_answer_to_a_request_of_before_does_not_end_a_limit(vm):
+async def test_an_answer_to_an_earlier_request_does_not_end_a_limit(vm):
     await vm.timers.advance(1.0)
     vm.answer(3.3)
-    vm.answer(None, asked_s_ago=0.4)
+    vm.answer(None, sent_s_ago=0.4)
     assert vm.limits.is_limited("e1")
 
 
-async def test_a_limit_that_nobody_confirms_is_dropped(vm):
+async def test_a_limit_that_nobody_confirms_expires(vm):
     vm.answer(3.3)
     await vm.timers.advance(MIN_LIMIT_TTL_S - 0.1)
     assert vm.limits.is_limited("e1")
@@ -102,15 +102,15 @@
     assert vm.limits.acquire("e1")
 
 
-async def test_a_word_on_a_former_start_is_left_aside(vm):
-    await vm.hear(3.3, started_ms=900)
+async def test_an_announcement_of_a_former_incarnation_is_ignored(vm):
+    await vm.receive(3.3, started_ms=900)
     assert not vm.limits.is_limited("e1")
-    await vm.hear(3.3)
-    await vm.hear(None)
+    await vm.receive(3.3)
+    await vm.receive(None)
     assert not vm.limits.is_limited("e1")
 
 
-def test_a_vm_that_was_told_holds_its_requests_back(vm):
+def test_a_vm_that_knows_a_limit_holds_its_requests_back(vm):
     assert vm.limits.acquire("e1")
     vm.answer(3.3)
     assert not vm.limits.acquire("e1")
