--- a/hawthornlead/decisions/quotas.py
+++ b/hawthornlead/decisions/quotas.py
@@ -288,6 +288,6 @@
         wait_s = min(MAX_RETRY_S, max(MIN_RETRY_S, wait_s * spread))
         detail = (
             f"{name} is over its limit of {limit.rate:g} a second: "
-            f"{account.demand.at(self._now()):.0f} asked, credit {account.credit:.0f}"
+            f"demand {account.demand.at(self._now()):.0f}, credit {account.credit:.0f}"
         )
         return Failure(ErrorKind.CALLER_LIMITED, detail, wait_s)
--- a/hawthornlead/gateway/adapter_requests.py
+++ b/hawthornlead/gateway/adapter_requests.py
@@ -69,8 +69,8 @@
         """Make an adapter ready and return its version.
 
         Waits for a slot until ``request.until``, and for the adapter ``wait_s``. Fails
-        with ``NO_SLOT`` if no slot comes free in time, ``NO_GRANT`` if this VM may not
-        order the engine, ``LOAD_FAILED`` if the adapter isn't ready in time.
+        with ``NO_SLOT`` if no slot becomes free in time, ``NO_GRANT`` if this VM may
+        not order the engine, ``LOAD_FAILED`` if the adapter isn't ready in time.
         """
         key = request.key
         self._slots.record_use(key, 1, self._timers.now())
--- a/hawthornlead/gateway/engine_managers.py
+++ b/hawthornlead/gateway/engine_managers.py
@@ -306,7 +306,9 @@
     def _publish(self, owner: EngineOwner) -> None:
         """Announce to all VMs, including this one, what an engine holds."""
         self._targets.apply_holdings(self._memberships.vm, owner.holdings)
-        self._tasks.spawn_once(f"tell {owner.target}", lambda: self._announce(owner))
+        self._tasks.spawn_once(
+            f"announce {owner.target}", lambda: self._announce(owner)
+        )
 
     async def _announce(self, owner: EngineOwner) -> None:
         batch_s = HOLDINGS_BATCH_S
--- a/hawthornlead/gateway/engine_slots.py
+++ b/hawthornlead/gateway/engine_slots.py
@@ -150,11 +150,11 @@
     def end_turn(self, key: AdapterKey, vm: str) -> None:
         """Record that a VM's request for an adapter has ended, or isn't sent."""
         turns = self._turns.get(key, {})
-        begun = turns.get(vm)
-        if not begun:
+        started_at = turns.get(vm)
+        if not started_at:
             return
-        begun.pop(0)
-        if not begun:
+        started_at.pop(0)
+        if not started_at:
             del turns[vm]
         if not turns:
             del self._turns[key]
@@ -236,8 +236,8 @@
         turns = self._turns.get(key)
         if turns is None:
             return False
-        for vm, begun in tuple(turns.items()):
-            turns[vm] = [at for at in begun if at > since]
+        for vm, started_at in tuple(turns.items()):
+            turns[vm] = [at for at in started_at if at > since]
             if not turns[vm]:
                 del turns[vm]
         if not turns:
--- a/hawthornlead/gateway/ownerships.py
+++ b/hawthornlead/gateway/ownerships.py
@@ -93,7 +93,7 @@
         self._started_at = lease.now()
         # When this process gave its last order to each engine, owned by now or not.
         self._ordered_at: dict[str, float] = {}
-        # How often this VM was asked to yield each engine.
+        # How often this VM was requested to yield each engine.
         self._yields: dict[str, int] = {}
         self._held: dict[str, _Held] = {}
         mesh.on(YieldTarget, self._on_yield)
--- a/hawthornlead/tests/test_limit_shares.py
+++ b/hawthornlead/tests/test_limit_shares.py
@@ -6,7 +6,7 @@
 
 from hawthornlead.decisions.limit_shares import ONSET_DELAY_S, LimitShare
 
-# The maximum for a target in windows that end EFFECTIVE_AFTER_S or more after its limit.
+# What a target may get in windows ending EFFECTIVE_AFTER_S or more after its limit.
 OVERAGE, SLACK, WINDOW_S, EFFECTIVE_AFTER_S = 1.5, 5, 4.0, 3.0
 # The VMs learn of a limit this long after it was set, by an answer and a message.
 LEARNED_AFTER_S = 0.1
