--- a/hawthornlead/tests/test_answer_invariants.py
+++ b/hawthornlead/tests/test_answer_invariants.py
@@ -1,4 +1,4 @@
-"""The invariants of an answer on its way to a caller can break."""
+"""Tests that the invariants of relayed answers detect violations."""
 
 import pytest
 
@@ -13,28 +13,28 @@
 
 
 class _Exchange:
-    """An exchange whose response has no refusal."""
+    """An exchange whose response is no refusal."""
 
     head = None
 
     def close(self):
-        """Nothing is open."""
+        """Do nothing; no connection is open."""
 
 
 class _Sink:
-    """Keeps what went on to the caller."""
+    """Keeps what was forwarded to the caller."""
 
     gone = False
 
     def __init__(self):
-        self.taken = b""
+        self.written = b""
 
     def write(self, events):
-        self.taken += events
+        self.written += events
 
 
 class _Careless(AnswerCheck):
-    """A check with a fault: it lets the answer to another attempt pass."""
+    """A faulty check, which lets the answer to another attempt pass."""
 
     @property
     def named(self):
@@ -42,7 +42,7 @@
 
 
 class _Doubling(AnswerCheck):
-    """A check with a fault: it hands tokens on twice and counts them once."""
+    """A faulty check, which forwards tokens twice and counts them once."""
 
     def feed(self, data):
         return super().feed(data).map(lambda events: events + events)
@@ -57,17 +57,17 @@
     return sink
 
 
-def test_an_own_answer_goes_on():
-    assert received(AnswerCheck, HEAD, TOKEN).taken == TOKEN
+def test_the_expected_answer_is_forwarded():
+    assert received(AnswerCheck, HEAD, TOKEN).written == TOKEN
 
 
 def test_the_answer_to_another_attempt_breaks_an_invariant():
-    """A caller would read another caller's briefing, and nobody would notice."""
+    """A caller would get another caller's answer unnoticed."""
     with pytest.raises(InvariantBroken, match="answer-names-its-assignment"):
         received(_Careless, HEAD, TOKEN)
 
 
-def test_tokens_handed_on_and_not_counted_break_an_invariant():
-    """A token goes to the caller twice though the end marker's count is right."""
+def test_tokens_forwarded_and_not_counted_break_an_invariant():
+    """A token is sent to the caller twice, although the end marker's count is right."""
     with pytest.raises(InvariantBroken, match="tokens-counted"):
         received(_Doubling, HEAD, TOKEN)
--- a/hawthornlead/tests/test_caller_servers.py
+++ b/hawthornlead/tests/test_caller_servers.py
@@ -1,4 +1,4 @@
-"""Bounds on callers' connections: how many, how slow, how large."""
+"""Tests of limits on callers' connections: their number, time and body size."""
 
 import asyncio
 import json
@@ -35,7 +35,7 @@
         self.port = sockets[0].getsockname()[1]
 
     async def connect(self, data: bytes):
-        """Open a connection and send what is given."""
+        """Open a connection and send ``data``."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         writer.write(data)
         return reader, writer
@@ -60,11 +60,11 @@
 
 
 async def test_a_connection_too_many_is_refused_at_once(running):
-    """A caller's faulty client opens connections without end.
+    """A caller's faulty client keeps opening connections.
 
-    Queued, they would take this VM's file descriptors and memory, and other
-    callers would wait without a word. Refused in the form of all refusals, a
-    caller knows that nothing ran; and the open connections go on working.
+    If they were queued, they would use up file descriptors and memory, and other
+    callers would wait without an answer. The refusal has the usual form, which tells
+    that nothing ran, and the open connections continue to work.
     """
     kept = [await running.connect(GET) for _ in range(2)]
     for reader, _ in kept:
@@ -91,10 +91,10 @@
     ids=["nothing", "head", "body"],
 )
 async def test_a_head_or_body_that_never_ends_frees_its_place(running, started):
-    """A caller sends a byte now and then, and holds its connection for good.
+    """A caller sends a byte now and then and keeps its connection forever.
 
-    With ``MAX_CONNECTIONS`` such callers nobody else could connect. A limit on the
-    silence between bytes would not end it; the limit is on the whole.
+    With ``MAX_CONNECTIONS`` such callers no other could connect. A limit on the
+    silence between bytes would not help, so the limit is on the whole head or body.
     """
     reader, writer = await running.connect(started)
 
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-async def test_a_body_too_large_is_told_so(running, chunked):
+async def test_a_body_too_large_is_refused_as_such(running, chunked):
     large = b"x" * 3000
     if chunked:
         data = POST + b"Transfer-Encoding: chunked\r\n\r\nbb8\r\n" + large
--- a/hawthornlead/tests/test_command_handlers.py
+++ b/hawthornlead/tests/test_command_handlers.py
@@ -1,4 +1,4 @@
-"""Tests of what callers are told, over HTTP."""
+"""Tests of answers to callers over HTTP."""
 
 import json
 from types import SimpleNamespace
@@ -21,15 +21,15 @@
 
 
 class Requests:
-    """A request path that refuses as a test says."""
+    """A request path that refuses with the failure that a test sets."""
 
     def __init__(self):
         self.failure = Failure(ErrorKind.OVERLOADED, "full", 1.0)
-        self.asked = []
+        self.received = []
 
     async def serve(self, request, sink):
-        """Note the request and refuse it."""
-        self.asked.append(request)
+        """Record the request and refuse it."""
+        self.received.append(request)
         return Err(self.failure)
 
 
@@ -46,7 +46,7 @@
     server = HTTPServer(Application(caller_routes(parts)))
     server.add_sockets([socket])
 
-    async def ask(**headers):
+    async def send(**headers):
         names = {name.replace("_", "-"): value for name, value in headers.items()}
         response = await AsyncHTTPClient(force_instance=True).fetch(
             f"http://127.0.0.1:{port}/v1/completions",
@@ -57,27 +57,27 @@
         )
         return json.loads(response.body)
 
-    yield SimpleNamespace(ask=ask, requests=requests)
+    yield SimpleNamespace(send=send, requests=requests)
     server.stop()
     await server.close_all_connections()
 
 
 async def test_a_refusal_of_a_key_whose_claim_was_not_read_says_so(site):
-    """A caller's first try runs; its second is refused by a VM that is full.
+    """A caller's first try runs, and its second is refused by an overloaded VM.
 
-    "not run" is true of the second alone. Read as true of the key, it makes the
-    caller file the bulletin under a new key, a second time.
+    "not run" holds for the second try only. If the caller takes it for the key, it
+    sends the request again under a new key, and the request runs twice.
     """
-    refused = await site.ask(Idempotency_Key="lap-81")
+    refused = await site.send(Idempotency_Key="lap-81")
     assert (refused["ran"], refused["other_tries"]) == ("not run", "unknown")
     site.requests.failure = Failure(ErrorKind.NO_SLOT, "none", claim_read=True)
-    assert "other_tries" not in await site.ask(Idempotency_Key="lap-81")
-    assert "other_tries" not in await site.ask()
+    assert "other_tries" not in await site.send(Idempotency_Key="lap-81")
+    assert "other_tries" not in await site.send()
 
 
 async def test_the_time_of_a_key_is_read(site):
     header = {"Hawthornlead_Key_Issued_At": str(ISSUED_MS)}
-    await site.ask(Idempotency_Key="lap-81", **header)
-    assert site.requests.asked[0].key_issued_at == ISSUED_MS / 1000
-    refused = await site.ask(Idempotency_Key="k", Hawthornlead_Key_Issued_At="now")
+    await site.send(Idempotency_Key="lap-81", **header)
+    assert site.requests.received[0].key_issued_at == ISSUED_MS / 1000
+    refused = await site.send(Idempotency_Key="k", Hawthornlead_Key_Issued_At="now")
     assert (refused["error"], refused["other_tries"]) == ("bad-request", "unknown")
--- a/hawthornlead/tests/test_daemons.py
+++ b/hawthornlead/tests/test_daemons.py
@@ -22,8 +22,8 @@
 async def test_own_requests_and_those_to_own_targets_are_counted_apart():
     """A VM sends a request to a target that it owns.
 
-    In one shared count it would stand twice, and its adapter look twice as popular
-    as one that is asked for elsewhere.
+    A shared counter would count it twice, and its adapter would appear twice as
+    popular as one that is requested elsewhere.
     """
     daemon = Daemon(_settings(), seed=1)
     owners_count = daemon._target_owners._policies.popularity
@@ -33,8 +33,9 @@
 async def test_peer_port_is_closed_after_everything_else(monkeypatch):
     """A VM shuts down while others look for proof that it is gone.
 
-    A peer port that refuses is such proof. Closed before the connections to targets
-    and callers, it would let a successor act while this process still does.
+    A peer port that refuses connections is such proof. If it were closed before the
+    connections to targets and callers, a successor would act while this process
+    still does.
     """
     settings = _settings()
     timers = TimerService()
@@ -43,29 +44,29 @@
     daemon = Daemon(settings, store=MemoryStore(objects, **parts), seed=1)
     await daemon.start()
     (server,) = daemon._servers
-    done = []
+    stopped = []
 
-    def noted(name, part, method):
+    def record_calls(name, part, method):
         original = getattr(part, method)
 
         async def call(*args, **kwargs):
-            done.append(name)
+            stopped.append(name)
             return await original(*args, **kwargs)
 
         monkeypatch.setattr(part, method, call)
 
-    noted("mesh", daemon._mesh, "stop")
-    noted("callers", server, "close_all_connections")
-    noted("owners", daemon._owners, "release_all")
-    noted("lease", daemon._leases, "release")
-    noted("targets", daemon._target_owners, "stop")
+    record_calls("mesh", daemon._mesh, "stop")
+    record_calls("callers", server, "close_all_connections")
+    record_calls("owners", daemon._owners, "release_all")
+    record_calls("lease", daemon._leases, "release")
+    record_calls("targets", daemon._target_owners, "stop")
     close = daemon._connections.close
 
     def close_targets():
-        done.append("connections")
+        stopped.append("connections")
         close()
 
     monkeypatch.setattr(daemon._connections, "close", close_targets)
     await daemon.stop()
     timers.stop()
-    assert done == ["targets", "owners", "lease", "connections", "callers", "mesh"]
+    assert stopped == ["targets", "owners", "lease", "connections", "callers", "mesh"]
--- a/hawthornlead/tests/test_relays.py
+++ b/hawthornlead/tests/test_relays.py
@@ -1,4 +1,4 @@
-"""Tests of the checks on answers."""
+"""Tests of the checks on relayed answers."""
 
 import json
 
@@ -55,10 +55,10 @@
     "head", [{"id": "r.2"}, {"adapter": "lap"}, {"version": "2"}, {"offset": 1}]
 )
 def test_a_crossed_answer_is_dropped_before_its_first_token(head):
-    """A caller sees another caller's briefing.
+    """A caller gets the answer to another caller's request.
 
-    Two runs on one target end at once and the target swaps their streams. The
-    first event names another attempt, adapter, version or offset than was sent.
+    A target swaps the streams of two runs. The first event then names another
+    attempt, adapter, version or offset than was sent.
     """
     outcome, passed = feed_all(check(), stream(**head))
     assert outcome.err_value.kind is ErrorKind.WRONG_ANSWER
@@ -67,10 +67,10 @@
 
 @pytest.mark.parametrize("damage", ["doubled", "missing", "after-end", "short"])
 def test_a_damaged_stream_is_never_closed_as_whole(damage):
-    """A bulletin is filed with a sentence doubled or missing.
+    """An answer with doubled or missing tokens passes as complete.
 
     A stream is resumed at the wrong offset, or its end is lost and the connection
-    closes cleanly. The indexes and the count in the end marker do not fit.
+    closes cleanly. The indexes or the count in the end marker don't match.
     """
     parts = stream()
     if damage == "doubled":
@@ -97,12 +97,12 @@
 
 
 @pytest.mark.parametrize("pieces", [1, 2])
-def test_tokens_before_a_false_end_count_as_not_handed_on(pieces):
-    """A caller is told that an answer is whole though its tokens are missing.
+def test_tokens_before_a_wrong_end_count_as_not_forwarded(pieces):
+    """A caller gets an answer marked as complete although tokens are missing.
 
-    A target sends its answer twice in one packet. The check refuses it for what
-    follows the end marker and hands none of it on, but it had counted the tokens;
-    the resumed attempt began behind them and its end marker fitted that count.
+    A target sends its answer twice in one packet. The check rejects it for the events
+    after the end marker and forwards none of it. If it counted those tokens, the
+    resumed attempt would start behind them, and its end marker would match the count.
     """
     doubled = b"".join(stream() * 2)
     # In one piece, or cut after the first token.
--- a/hawthornlead/tests/test_request_guards.py
+++ b/hawthornlead/tests/test_request_guards.py
@@ -39,8 +39,8 @@
         self.address = f"http://127.0.0.1:{port}"
         self.client = AsyncHTTPClient(force_instance=True)
 
-    async def ask(self, path, **headers):
-        """Ask and return the status and what was refused."""
+    async def send(self, path, **headers):
+        """Send a request; return the status and the error."""
         url = self.address + path
         answer = await self.client.fetch(url, headers=headers, raise_error=False)
         return answer.code, json.loads(answer.body).get("error")
@@ -57,12 +57,12 @@
 
 async def test_only_an_operator_reads_the_time_line(site):
     path = "/timeline?subject=tide"
-    assert await site.ask(path) == (401, "unauthenticated")
+    assert await site.send(path) == (401, "unauthenticated")
     token = {"Authorization": "Bearer a-callers-token"}
-    assert await site.ask(path, **token) == (401, "unauthenticated")
+    assert await site.send(path, **token) == (401, "unauthenticated")
     stranger = signed_headers(generate_key(), "ana", "GET", path, b"")
-    assert await site.ask(path, **stranger) == (403, "bad-signature")
-    assert await site.ask(path, **signed_headers(KEY, "ana", "GET", path, b"")) == (
+    assert await site.send(path, **stranger) == (403, "bad-signature")
+    assert await site.send(path, **signed_headers(KEY, "ana", "GET", path, b"")) == (
         200,
         None,
     )
@@ -70,18 +70,18 @@
 
 async def test_signature_covers_the_query_and_is_good_once(site):
     headers = signed_headers(KEY, "ana", "GET", "/timeline?subject=tide", b"")
-    other = await site.ask("/timeline?subject=heats", **headers)
+    other = await site.send("/timeline?subject=heats", **headers)
     assert other == (403, "bad-signature")
-    assert (await site.ask("/timeline?subject=tide", **headers))[0] == 200
-    assert await site.ask("/timeline?subject=tide", **headers) == (403, "forbidden")
+    assert (await site.send("/timeline?subject=tide", **headers))[0] == 200
+    assert await site.send("/timeline?subject=tide", **headers) == (403, "forbidden")
 
 
 async def test_a_stream_of_unsigned_requests_leaves_the_ring_alone(site):
-    """Someone sends unsigned requests in a row while operators look for a fault.
+    """Unsigned requests arrive in a row while operators look for a fault.
 
-    Each made an event, and the ring forgot all that operators looked for.
+    If each made an event, the ring would lose the events that operators look for.
     """
     for _ in range(50):
-        await site.ask("/timeline")
+        await site.send("/timeline")
     kinds = [record.number for record in site.events.newest()]
     assert 0 < kinds.count(EventKind.OPERATOR_REFUSED.number) < 50
--- a/hawthornlead/tests/test_service_calls.py
+++ b/hawthornlead/tests/test_service_calls.py
@@ -1,4 +1,4 @@
-"""Tests of calls to plain services: at most once, in time, and bounded."""
+"""Tests of calls to plain services: at most once, with limits on time and size."""
 
 import random
 
@@ -22,7 +22,7 @@
 
 
 class FakeVmList:
-    """Two targets run the service."""
+    """A VM list with two targets that run the service."""
 
     def services(self, name):
         """Return the targets of a service."""
@@ -33,7 +33,7 @@
 
 
 class Site:
-    """A service path over claims in memory and connections that a test answers."""
+    """A service path with claims in memory and connections with set answers."""
 
     def __init__(self, **answer):
         self.fleet = ClaimFleet(1)
@@ -88,10 +88,10 @@
 
 
 async def test_a_call_frozen_while_it_connects_is_not_sent(site):
-    """The VM is stopped between connecting and sending, past the call's deadline.
+    """The VM is frozen between connecting and sending until after the deadline.
 
-    Its caller has given up and tried again, maybe with success: sent now, the lap
-    crossing is counted twice. The clock is read again right before the send.
+    Its caller may have retried successfully: sent now, the call would run twice. The
+    clock is read again right before the send.
     """
     site.connections.open_s = 6.0
     late = (await site.call("r1")).err_value
@@ -102,9 +102,9 @@
 
 
 async def test_an_answer_without_end_does_not_fill_the_memory(monkeypatch):
-    """A service answers without end; kept whole, the VM would run out of memory.
+    """A service sends an endless answer, which would exhaust the VM's memory.
 
-    It ran, so that the answer is not "not run", and the call is not sent again.
+    The call ran, so the answer is not "not run", and the call is not sent again.
     """
     monkeypatch.setattr(service_calls, "MAX_SERVICE_ANSWER_BYTES", 10)
     site = Site(chunks=(b"12345", b"67890", b"!"))
@@ -114,7 +114,7 @@
 
 
 async def test_retries_keep_to_the_budget():
-    """A service fails under load; each call is tried only while the budget lasts."""
+    """A service fails under load; calls are retried only within the retry budget."""
     site = Site(status=500)
     for number in range(10):
         lost = (await site.call(f"r{number}", key="", repeatable=True)).err_value
--- a/hawthornlead/tests/test_sinks.py
+++ b/hawthornlead/tests/test_sinks.py
@@ -1,4 +1,4 @@
-"""Tests of the sinks, over real connections."""
+"""Tests of streaming sinks over real connections."""
 
 import asyncio
 import socket
@@ -12,29 +12,29 @@
 from hawthornlead.callers.sinks import StreamSink
 
 HEAD = AnswerHead("r1", "tides", "v1", "engine-1", 1)
-# More than the system buffers of a connection on loopback.
+# More than the system buffers for a loopback connection.
 LARGE = b"data: " + b"x" * (8 << 20) + b"\n\n"
 
 
 class Streaming(RequestHandler):
-    """Hands its sink to the test and lets the test write."""
+    """Passes its sink to the test, which writes to it."""
 
-    def initialize(self, sinks: asyncio.Queue, slow_s: float):
+    def initialize(self, sinks: asyncio.Queue, stall_timeout_s: float):
         self._sinks = sinks
-        self._slow_s = slow_s
+        self._stall_timeout_s = stall_timeout_s
 
     async def get(self):
-        sink = StreamSink(self, 0.001, self._slow_s)
+        sink = StreamSink(self, 0.001, self._stall_timeout_s)
         sink.set_head(HEAD)
         ended = asyncio.get_running_loop().create_future()
         self._sinks.put_nowait((sink, ended))
         await ended
 
 
-async def stream_to(slow_s: float):
-    """Start a server and a caller that has asked and not read yet."""
+async def stream_to(stall_timeout_s: float):
+    """Start a server and a caller that sent a request and reads nothing yet."""
     sinks: asyncio.Queue = asyncio.Queue()
-    routes = [("/", Streaming, {"sinks": sinks, "slow_s": slow_s})]
+    routes = [("/", Streaming, {"sinks": sinks, "stall_timeout_s": stall_timeout_s})]
     server = HTTPServer(Application(routes, log_function=lambda handler: None))
     sockets = bind_sockets(0, "127.0.0.1")
     server.add_sockets(sockets)
@@ -49,8 +49,8 @@
 async def streams():
     running = []
 
-    async def start(slow_s: float):
-        made = await stream_to(slow_s)
+    async def start(stall_timeout_s: float):
+        made = await stream_to(stall_timeout_s)
         running.append(made)
         return made
 
@@ -64,10 +64,10 @@
 
 
 async def test_writes_that_overlap_do_not_make_a_reading_caller_gone(streams):
-    # A caller paused, more tokens came, and 20 s later its answer broke off although
-    # it had gone on reading: two flushes waited at a time, tornado forgot the first
-    # one's future, and its waiter took the caller for gone.
-    _server, sink, ended, reader, _writer = await streams(slow_s=2.0)
+    # A caller pauses, more tokens arrive, and 20 s later its answer ends although it
+    # reads again: with two pending flushes tornado drops the future of the first, whose
+    # wait then times out, and the caller counts as gone.
+    _server, sink, ended, reader, _writer = await streams(stall_timeout_s=2.0)
     first = asyncio.ensure_future(sink.write(LARGE))
     await asyncio.sleep(0)
     second = asyncio.ensure_future(sink.write(LARGE))
@@ -81,16 +81,16 @@
     ended.set_result(None)
 
 
-async def test_a_caller_that_does_not_read_holds_back_and_then_is_gone(streams):
-    _server, sink, _ended, _reader, _writer = await streams(slow_s=0.05)
-    held = sink.write(LARGE)
-    assert held is not None
-    await held
+async def test_a_caller_that_does_not_read_blocks_and_then_is_gone(streams):
+    _server, sink, _ended, _reader, _writer = await streams(stall_timeout_s=0.05)
+    pending = sink.write(LARGE)
+    assert pending is not None
+    await pending
     assert sink.gone
 
 
-async def test_a_caller_that_reads_holds_back_nothing(streams):
-    _server, sink, _ended, reader, _writer = await streams(slow_s=2.0)
+async def test_a_caller_that_reads_does_not_block(streams):
+    _server, sink, _ended, reader, _writer = await streams(stall_timeout_s=2.0)
     assert sink.write(b'data: {"i": 0, "t": "a"}\n\n') is None
     assert sink.write(b'data: {"i": 1, "t": "b"}\n\n') is None
     await sink.finish()
@@ -102,9 +102,9 @@
 
 
 async def test_tokens_do_not_wait_for_acknowledgements(streams):
-    # Tokens reached callers in lumps of 40 ms: each write waited for the caller's
-    # delayed acknowledgement of the one before.
-    _server, sink, ended, _reader, _writer = await streams(slow_s=2.0)
+    # Without TCP_NODELAY each write waits for the caller's delayed acknowledgement of
+    # the previous one, and tokens arrive in bursts 40 ms apart.
+    _server, sink, ended, _reader, _writer = await streams(stall_timeout_s=2.0)
     sink.write(b'data: {"i": 0, "t": "a"}\n\n')
     connection = sink._stream.socket
     assert connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
@@ -112,7 +112,7 @@
 
 
 async def test_a_write_after_the_caller_left_is_dropped(streams):
-    _server, sink, _ended, _reader, writer = await streams(slow_s=2.0)
+    _server, sink, _ended, _reader, writer = await streams(stall_timeout_s=2.0)
     writer.transport.abort()
     for number in range(200):
         sink.write(b'data: {"i": %d, "t": "a"}\n\n' % number)
