--- a/hawthornlead/bundles/bundle_freshness.py
+++ b/hawthornlead/bundles/bundle_freshness.py
@@ -1,14 +1,14 @@
-"""Whether what a VM knows of bundles is fresh enough to serve by.
+"""Decides whether a VM's knowledge of bundles is fresh enough to serve requests.
 
-A VM that was cut off or frozen may have missed that a newer bundle came into force.
-``BundleFreshness`` keeps the moments that prove it has not, and refuses when they are
-too old::
+A VM that was partitioned or frozen may have missed that a newer bundle came into force.
+``BundleFreshness`` keeps the times that prove it has not and refuses when they are too
+old::
 
     refusal = freshness.refusal(timers.now(), seq_in_force)
 
-All moments are seconds on this VM's clock, and each is when a question was sent that
-was answered later: an answer that waited in a socket while this process was frozen
-makes nothing fresh.
+All times are seconds on this VM's clock. Each is the time when a request was sent, not
+when it was answered: an answer that waited in a socket while this process was frozen
+is no proof of freshness.
 """
 
 from typing import NamedTuple
@@ -22,14 +22,14 @@
 
 
 class Acknowledged(NamedTuple):
-    """The stage that this VM acknowledged last, and when it was asked to."""
+    """The stage that this VM acknowledged last, and when the request arrived."""
 
     seq: int
     at: float
 
 
 class BundleFreshness:
-    """Keeps when this VM last heard what, and says whether it may serve by it."""
+    """Tracks how old this VM's information is and whether it may serve."""
 
     def __init__(
         self,
@@ -58,35 +58,35 @@
         )
 
     def record_contact(self, requested_at: float) -> None:
-        """Note that the store or another VM answered a question of ``requested_at``."""
+        """Record an answer of the store or a VM to a request of ``requested_at``."""
         self._contact_at = max(self._contact_at, requested_at)
 
     def record_join(self, incarnation: str) -> None:
-        """Note that the pointer was read after this incarnation was registered."""
+        """Record that the pointer was read after this incarnation was registered."""
         self._joined_incarnation = incarnation
 
     def record_acknowledgement(self, seq: int, received_at: float) -> None:
-        """Note that this VM is first asked to acknowledge a stage, at a moment.
+        """Record when this VM was first asked to acknowledge a stage.
 
-        The stage can't be accepted without this VM's first acknowledgement, which is
-        not sent yet. Under a waiver that is not true, so that this VM uses it for
-        itself only and vouches for nothing to others.
+        The stage can't be accepted before this VM's first acknowledgement, which is
+        not sent yet. Under a waiver it can, so this VM uses the time only for itself
+        and does not confirm it to others.
         """
         self._acknowledged = Acknowledged(seq, received_at)
 
     def mark_accepting(self, seq: int, now: float) -> None:
-        """Note that the write which accepts a stage is about to be sent.
+        """Record that the write which accepts a stage is about to be sent.
 
-        From here on this VM no longer vouches that the stage is not accepted:
-        the write may take effect and its reply be lost.
+        From here on this VM no longer confirms that the stage is not accepted: the
+        write may take effect and its reply be lost.
         """
         self._knowledge.confirm(seq, now)
         self._accepting_seq = max(self._accepting_seq, seq)
 
     def refusal(self, now: float, seq_in_force: int) -> Failure | None:
-        """Return why no request may be served at ``now``, None if it may.
+        """Return why no request may be served at ``now``, None if requests may.
 
-        ``seq_in_force`` is the bundle that this VM can serve; 0: none.
+        ``seq_in_force`` is the bundle that this VM can serve, 0 for none.
         """
         if not self._joined:
             return Failure(ErrorKind.NOT_READY, "this VM is not registered yet", 1.0)
@@ -96,23 +96,23 @@
         if knowledge.seq == 0:
             return Failure(ErrorKind.NO_BUNDLE, "no bundle was rolled yet", 5.0)
         if seq_in_force < knowledge.seq:
-            detail = f"bundle {knowledge.seq} is in force and not here yet"
+            detail = f"bundle {knowledge.seq} is in force but not loaded on this VM yet"
             return Failure(ErrorKind.BUNDLE_BEHIND, detail, 1.0)
-        # Guards against a VM that missed an acceptance and serves the old bundle on
-        # (BUN-2, BUN-9, BUN-13). Whoever knows of a stage is in doubt of it, however
-        # it came to know, by the roll's asking or by reading as a newcomer does:
-        # without fresh proof that it is not accepted the VM refuses.
+        # Guards against a VM that missed an acceptance and keeps serving the old
+        # bundle (BUN-2, BUN-9, BUN-13). A VM that knows of a stage is in doubt of it,
+        # whether the roll asked it or it read the pointer when it started. It refuses
+        # without fresh proof that the stage is not accepted.
         staged = knowledge.staged
         if staged is not None and now - self._undecided_at(now) > self._doubt_s:
-            detail = f"bundle {staged.seq} may be in force: no word for a while"
+            detail = f"bundle {staged.seq} may be in force: no recent confirmation"
             return Failure(ErrorKind.BUNDLE_UNDECIDED, detail, 1.0)
         if now - self._contact_at > self._isolation_s:
-            detail = "this VM hears neither the store nor another VM"
+            detail = "this VM reaches neither the store nor another VM"
             return Failure(ErrorKind.ISOLATED, detail, 1.0)
         return None
 
     def requires_read(self, now: float) -> bool:
-        """Whether this VM should read the store itself, before it must refuse."""
+        """Return whether this VM should read the store before it has to refuse."""
         if not self._joined:
             return True
         if now - self._contact_at > OWN_READ_SHARE * self._isolation_s:
@@ -120,12 +120,12 @@
         return now - self._undecided_at(now) > OWN_READ_SHARE * self._doubt_s
 
     def confirmed_undecided_at(self, now: float) -> float:
-        """Return when the staged bundle was surely not accepted yet.
+        """Return the last time when the staged bundle was certainly not accepted.
 
-        Only the process that staged it can accept it, so that this process itself
-        knows that its own stage is not accepted until it sends the write. No other
-        process is sure by itself, not one restarted under the VM's name either
-        (BUN-8): it can only hand on, with its age, what this one or the store said.
+        Only the process that staged a bundle can accept it, so it knows that its own
+        stage is not accepted until it sends the write. Any other process, including
+        one restarted under the same VM name (BUN-8), can only forward with its age
+        what that process or the store reported.
         """
         staged = self._knowledge.staged
         if staged is None:
@@ -136,7 +136,7 @@
         return self._knowledge.confirmed_at
 
     def _undecided_at(self, now: float) -> float:
-        """Return when the staged bundle was not accepted yet, for this VM's own use."""
+        """Return the last such time that holds for this VM's own use."""
         confirmed_undecided_at = self.confirmed_undecided_at(now)
         staged = self._knowledge.staged
         if self._acknowledged.seq == (staged.seq if staged else 0):
--- a/hawthornlead/bundles/bundle_knowledge.py
+++ b/hawthornlead/bundles/bundle_knowledge.py
@@ -1,8 +1,8 @@
 """What one VM knows of the bundles that were accepted, staged and abandoned.
 
-All that a VM is told (by the store, by the VM that rolls, by any other VM, late or
-twice or in any order) is merged in here, and merging never goes back: a sequence
-number that is known to be accepted or decided stays so.
+Reports come from the store, from the VM that rolls or from any other VM, possibly late,
+twice or out of order. All are merged here, and merging is monotonic: a sequence number
+known to be accepted or decided stays so.
 """
 
 from typing import NamedTuple
@@ -14,10 +14,10 @@
 
 
 class BundleReport(NamedTuple):
-    """What one source tells.
+    """What one source reports about bundles.
 
-    ``confirmed_at`` is a moment, by this VM's clock, at which the staged bundle
-    was not accepted yet.
+    ``confirmed_at`` is a time on this VM's clock at which the staged bundle was not
+    accepted yet.
     """
 
     seq: int
@@ -28,18 +28,18 @@
 
 
 def report_from_pointer(pointer: Pointer, read_at: float) -> BundleReport:
-    """Return what a read of the store tells that was begun at ``read_at``."""
+    """Return the report of a store read that was started at ``read_at``."""
     return BundleReport(
         pointer.seq, pointer.digest, pointer.decided_seq, pointer.staged, read_at
     )
 
 
 def report_from_peer(reply: BundlePointer, requested_at: float) -> BundleReport:
-    """Return what a VM tells that was asked at ``requested_at``.
+    """Return the report in the reply to a request sent at ``requested_at``.
 
     Guards against old answers that waited in a socket and prolong the service of a
-    replaced bundle (BUN-4). The age counts from its reply, which is later than the
-    asking, so that what is reckoned here is never too late.
+    replaced bundle (BUN-4). The age is relative to the reply, which is later than the
+    request, so the time computed here is never too late.
     """
     staged = None
     if reply.staged_seq:
@@ -88,28 +88,28 @@
 
     @property
     def staged_at(self) -> float:
-        """When this VM heard first of the staged bundle."""
+        """When this VM first learned of the staged bundle."""
         return self._staged_at
 
     @property
     def confirmed_at(self) -> float:
-        """The last moment at which the staged bundle was surely not accepted."""
+        """The last time at which the staged bundle was certainly not accepted."""
         return self._confirmed_at
 
     def merge(self, report: BundleReport, now: float) -> None:
-        """Take in what a source tells."""
-        # Guards against late words that bring back an older bundle (BUN-3): seen
-        # from outside, a version that was replaced answers again. Numbers only grow.
+        """Merge the report of a source."""
+        # Guards against late messages that restore an older bundle (BUN-3): callers
+        # would get answers from a replaced version again. Numbers only grow.
         if report.seq > self._seq:
             self._seq, self._digest = report.seq, report.digest
         self._decided_seq = max(self._decided_seq, report.decided_seq, report.seq)
         staged = report.staged
         if staged is not None and staged.seq > self._decided_seq:
             if self._staged is None or staged.seq > self._staged.seq:
-                # A stage begins only when all before it are decided. Whoever tells
-                # of it tells, in ``report.seq``, what was in force when it began: else
-                # the new doubt would hide that an earlier stage was accepted, and
-                # proof on this one would make an old bundle served (BUN-14).
+                # A stage starts only when all earlier ones are decided. Reports of a
+                # stage carry in ``report.seq`` what was in force when it started.
+                # Otherwise the new doubt would hide that an earlier stage was accepted,
+                # and proof about this one would let an old bundle be served (BUN-14).
                 self._decided_seq = staged.seq - 1
                 self._staged, self._staged_at = staged, now
                 self._confirmed_at = NEVER
@@ -120,15 +120,15 @@
             self._confirmed_at = NEVER
 
     def confirm(self, seq: int, at: float) -> None:
-        """Note that the staged bundle was not accepted at a moment."""
+        """Record a time at which the staged bundle was not accepted."""
         if self._staged is not None and self._staged.seq == seq:
             self._confirmed_at = max(self._confirmed_at, at)
 
     def mark_abandoned(self, seq: int) -> None:
-        """Take in that the staged bundle was abandoned.
+        """Record that the staged bundle was abandoned.
 
-        Of another stage than the one known here the word says nothing about what
-        was accepted before it, so that it is not taken.
+        A message about any other stage is ignored: it does not say what was accepted
+        before that stage.
         """
         if self._staged is None or self._staged.seq != seq:
             return
--- a/hawthornlead/bundles/bundle_libraries.py
+++ b/hawthornlead/bundles/bundle_libraries.py
@@ -1,8 +1,8 @@
-"""Where the chunks and signatures of bundles are kept and fetched from.
+"""Stores, fetches and verifies the chunks and signatures of bundles.
 
-The store keeps each chunk under its digest and each bundle's signatures under the
-bundle's. A VM asks another VM first, so that the store's reads do not grow with the
-fleet. Whatever comes from whomever is checked: chunks against their digest,
+The store keeps each chunk under its digest and the signatures of each bundle under the
+digest of the bundle. A VM asks another VM first, so that store reads do not grow with
+the fleet. All content is verified whatever its source: chunks against their digest,
 signatures against the operators' keys.
 """
 
@@ -29,7 +29,7 @@
 
 CHUNK_KIND = "bundle-chunk"
 RELEASE_KIND = "bundle-release"
-# A release is asked from VMs like a chunk, under this prefix and its digest.
+# A release is requested from VMs like a chunk, under this prefix and its digest.
 RELEASE_PREFIX = "release:"
 MAX_CONCURRENT_FETCHES = 8
 
@@ -50,7 +50,7 @@
 
 
 class BundleLibrary:
-    """The chunks and releases that one VM holds, and how it gets others."""
+    """Holds the chunks and releases of one VM and fetches missing ones."""
 
     def __init__(self, *, settings, store, mesh, keys: OperatorKeys):
         self._data_centre = settings["DATA_CENTRE"]
@@ -71,9 +71,9 @@
         return self._keys
 
     def designated_fetcher(self) -> str:
-        """Name the VM of this data centre that fetches for the others.
+        """Return the VM of this data centre that fetches for the others.
 
-        Two VMs that differ about it cost a few reads more, nothing else.
+        If two VMs disagree, this only costs a few more reads.
         """
         names = [self._vm]
         for peer in self._mesh.live:
@@ -86,7 +86,7 @@
     ) -> Result[Released, Failure]:
         """Fetch a bundle and verify its content and both signatures.
 
-        ``sources`` name VMs that are likely to hold it. The store comes last.
+        ``sources`` are VMs likely to hold the bundle. The store is tried last.
         """
         source_vms = self._sources(sources)
         release = await self._load_release(digest, source_vms)
@@ -99,7 +99,7 @@
         return assembled.map(lambda found: Released(found, release.unwrap()))
 
     def evict_except(self, digests: Iterable[str]) -> None:
-        """Forget all bundles but these."""
+        """Evict all bundles except these."""
         required = set(digests)
         self._bundles = {d: b for d, b in self._bundles.items() if d in required}
         self._releases = {d: r for d, r in self._releases.items() if d in required}
@@ -111,19 +111,19 @@
     # Orders of operators
 
     async def put_chunk(self, chunk: BundleChunk) -> Result[None, Failure]:
-        """Keep an uploaded chunk in the store."""
+        """Write an uploaded chunk to the store."""
         unpacked = unpack(chunk)
         if unpacked.is_err():
             return unpacked
         value = {"content": base64.b64encode(chunk.content).decode()}
         put = await self._store.put(CHUNK_KIND, chunk.digest, value, None)
-        # A conflict says that the chunk is there: its name is its content.
+        # A conflict means that the same chunk is stored: its name is its content hash.
         if put.is_err() and put.err_value.kind is not ErrorKind.VERSION_CONFLICT:
             return put
         return Ok(None)
 
     async def missing(self, digests: Iterable[str]) -> Result[list[str], Failure]:
-        """Name the chunks that the store does not hold."""
+        """Return the digests of the chunks that the store does not hold."""
         absent = []
         for digest in digests:
             got = await self._store.get(CHUNK_KIND, digest)
@@ -134,7 +134,7 @@
         return Ok(absent)
 
     async def prepare(self, prepared: SignedStatement) -> Result[Bundle, Failure]:
-        """Take in a bundle whose chunks were uploaded, with its signature."""
+        """Store the preparer's signature of a bundle whose chunks were uploaded."""
         digest = prepared.statement.digest
         known = self._keys.verify(prepared, Purpose.PREPARE, digest)
         if known.is_err():
@@ -142,8 +142,8 @@
         loaded = await self._load_bundle(digest, ())
         if loaded.is_err():
             return loaded
-        # In a thread, since it takes a good part of a second at 18,000 adapters
-        # and streams are relayed meanwhile.
+        # In a thread, because it takes a good part of a second with 18,000 adapters
+        # and would delay the streams relayed meanwhile.
         document = loaded.unwrap().document()
         faults = await asyncio.to_thread(check_document, document)
         if faults:
@@ -157,7 +157,7 @@
         return written.map(lambda _: loaded.unwrap())
 
     async def approve(self, approved: SignedStatement) -> Result[None, Failure]:
-        """Take in the approval of a prepared bundle."""
+        """Store the approval of a prepared bundle."""
         digest = approved.statement.digest
         stored = await self._stored_release(digest)
         if stored.is_err():
@@ -169,7 +169,7 @@
         return await self._add_signature(digest, "approved", approved)
 
     async def retire(self, retired: SignedStatement) -> Result[None, Failure]:
-        """Take in the order that a bundle must not be rolled any more."""
+        """Store the order that a bundle must not be rolled again."""
         digest = retired.statement.digest
         known = self._keys.verify(retired, Purpose.RETIRE, digest)
         if known.is_err():
@@ -179,8 +179,8 @@
     async def released_from_store(self, digest: str) -> Result[Released, Failure]:
         """Load a bundle with its signatures as the store has them now.
 
-        A roll is begun on these: a copy on a VM may not know that the bundle was
-        retired.
+        Rolls start from these, as the copy on a VM may lack the mark of a retired
+        bundle.
         """
         stored = await self._stored_release(digest)
         if stored.is_err():
@@ -268,7 +268,7 @@
     async def _get_chunk(
         self, digest: str, sources: tuple[str, ...]
     ) -> Result[BundleChunk, Failure]:
-        """Return a chunk; several askers at once share one fetch."""
+        """Return a chunk; concurrent requests share one fetch."""
         held = self._chunks.get(digest)
         if held is not None:
             return Ok(held)
@@ -298,7 +298,7 @@
         if got.is_err():
             return got
         if got.unwrap() is None:
-            detail = f"nobody holds chunk {digest[:12]}"
+            detail = f"chunk {digest[:12]} not found on any VM or in the store"
             return Err(Failure(ErrorKind.NOT_FOUND, detail))
         content = base64.b64decode(got.unwrap().value["content"])
         chunk = BundleChunk(digest, content)
@@ -323,7 +323,9 @@
             got = await self._get_chunk(digest, ())
             if got.is_ok():
                 return Chunk(digest, got.unwrap().content)
-        return failed(Failure(ErrorKind.NOT_FOUND, f"{self._vm} lacks {digest[:24]}"))
+        return failed(
+            Failure(ErrorKind.NOT_FOUND, f"{self._vm} does not hold {digest[:24]}")
+        )
 
     # Releases in the store
 
--- a/hawthornlead/bundles/roll_acknowledgements.py
+++ b/hawthornlead/bundles/roll_acknowledgements.py
@@ -116,7 +116,7 @@
                 break
             await self._timers.sleep(self._retry_interval_s)
         if reply.is_ok():
-            return Err(Failure(ErrorKind.BAD_MESSAGE, "reply names another stage"))
+            return Err(Failure(ErrorKind.BAD_MESSAGE, "reply does not match the stage"))
         return reply
 
 
--- a/hawthornlead/bundles/roll_orders.py
+++ b/hawthornlead/bundles/roll_orders.py
@@ -1,9 +1,9 @@
-"""Rolling a bundle for an operator: stage, gather every VM's word, accept.
+"""Rolls a bundle for an operator: stage, collect acknowledgements, accept.
 
-Each step on the pointer is a conditional update. A roll that can't be accepted
-abandons its stage and tells which VMs gave no word. Only the process that staged a
-bundle accepts it, under the stage's own sequence number, so that a stage that was
-abandoned by another can't come into force any more.
+Each change of the pointer is a conditional update. A roll that can't be accepted
+abandons its stage and reports which VMs did not acknowledge. Only the process that
+staged a bundle accepts it, under the sequence number of the stage, so a stage that
+another process abandoned can't come into force any more.
 """
 
 from typing import NamedTuple
@@ -32,10 +32,10 @@
 
 
 class RollOutcome(NamedTuple):
-    """An accepted roll: its sequence number, who gave their word, who did not.
+    """An accepted roll: its sequence number and the VMs that acknowledged it.
 
-    ``gone`` names VMs that were proved to have stopped, ``waived`` those that the
-    operator's order accepts without.
+    ``gone`` lists VMs proved to have stopped, ``waived`` those whose acknowledgement
+    the operator's order does not require.
     """
 
     seq: int
@@ -46,7 +46,7 @@
 
 
 async def abandon_stage(store, seq: int) -> Result[Pointer, Failure]:
-    """Abandon a stage if it is still the one staged; return the pointer."""
+    """Abandon a stage if it is still staged and return the pointer."""
 
     def change(value):
         pointer = read_pointer(value)
@@ -59,7 +59,7 @@
 
 
 class RollOrders:
-    """Carries out the orders of operators on one VM."""
+    """Executes the orders of operators on one VM."""
 
     def __init__(
         self,
@@ -89,7 +89,7 @@
         self._running: set[str] = set()
 
     async def roll(self, order: SignedStatement) -> Result[RollOutcome, Failure]:
-        """Carry out one signed order to roll a bundle."""
+        """Execute a signed order to roll a bundle."""
         valid = self._verify(order)
         if valid.is_err():
             return valid
@@ -118,7 +118,7 @@
         return outcome
 
     async def retire(self, order: SignedStatement) -> Result[None, Failure]:
-        """Bar a bundle from being rolled; one in force or staged is refused."""
+        """Retire a bundle, unless it is in force or staged."""
         digest = order.statement.digest
         read = await self._keeper.read_pointer()
         if read.is_err():
@@ -171,23 +171,23 @@
         return outcome
 
     def _past_outcome(self, ended: PastRoll) -> Result[RollOutcome, Failure]:
-        # The operator sends an order again whose answer was lost: it is answered
-        # by what became of it and not carried out a second time.
+        # An operator repeats an order whose answer was lost. It is answered with its
+        # past result and not executed a second time.
         if ended.accepted:
             return Ok(RollOutcome(ended.seq, ended.digest, (), waived=ended.waived))
-        detail = "this order was carried out before, not accepted, and abandoned"
+        detail = "this order was executed before, not accepted and abandoned"
         return Err(Failure(ErrorKind.ROLL_NOT_ACCEPTED, detail))
 
     # Staging
 
     async def _stage(self, statement: Statement) -> Result[Pointer, Failure]:
-        """Stage the bundle; the pointer returned has the stage or the past roll.
+        """Stage the bundle and return the pointer with the stage or the past roll.
 
-        An order that was sent again may find its own stage, with an accepting write
-        still under way whose reply was lost. It shows as "not accepted" being
-        answered for a bundle that comes into force later (BUN-12). So the stage is
-        never taken up again: it is replaced under a new number, by a conditional
-        write after which the late one meets another version and can't take effect.
+        A repeated order may find its own stage while an accepting write, whose reply
+        was lost, is still in flight. Then "not accepted" could be answered for a
+        bundle that comes into force later (BUN-12). So the stage is never reused: a
+        conditional write replaces it under a new number. The late write then meets
+        another version and can't take effect.
         """
         refusal: Pointer | None = None
 
@@ -229,10 +229,10 @@
         return Ok(pointer)
 
     def _is_alive(self, stage: Stage) -> bool:
-        """Tell whether the process that staged a bundle may be at work on it.
+        """Return whether the process that staged a bundle may still be rolling it.
 
-        A wrong answer costs one of two rolls, and nothing else: both go on by
-        conditional updates of the one pointer.
+        A wrong answer only makes one of two rolls fail, because both proceed by
+        conditional updates of the same pointer.
         """
         if stage.vm == self._vm:
             same = stage.incarnation == self._mesh.incarnation
@@ -263,14 +263,14 @@
 
     async def _differences(self, winner: str, requested: str) -> list[str]:
         if winner == requested:
-            return ["it is the same bundle"]
+            return ["the two bundles are the same"]
         ours = await self._library.load(requested)
         theirs = await self._library.load(winner) if winner else None
         if ours.is_err() or (theirs is not None and theirs.is_err()):
             return []
         old = theirs.unwrap().bundle if theirs is not None else None
         changes = [str(change) for change in diff(old, ours.unwrap().bundle)]
-        lines = ["what yours would change in it:", *changes[:MAX_CHANGES_SHOWN]]
+        lines = ["changes your bundle would make to it:", *changes[:MAX_CHANGES_SHOWN]]
         if len(changes) > MAX_CHANGES_SHOWN:
             lines.append(f"and {len(changes) - MAX_CHANGES_SHOWN} more")
         return lines
@@ -286,15 +286,15 @@
                 return None
             return pointer_document(pointer.with_accepted(acknowledgements.waived))
 
-        # Guards against a VM that goes on serving the old bundle on this VM's word
-        # after the write took effect and its reply was lost (BUN-5). Noted with no
-        # await between this and the sending: no answer of this VM that vouches for
-        # "not accepted" can be later than the write.
+        # Guards against a VM that keeps serving the old bundle because this VM
+        # confirms it after the write took effect and its reply was lost (BUN-5). There
+        # is no await between this mark and the write, so no answer of this VM that
+        # confirms "not accepted" can be later than the write.
         self._keeper.mark_accepting(stage.seq)
         sent_at = self._timers.now()
         written = await self._store.update(POINTER_KIND, POINTER_NAME, change)
         if written.is_err():
-            explanation = "it may be in force: ask again with the same order"
+            explanation = "it may be in force: repeat the same order"
             return Err(_unknown(written.unwrap_err(), explanation))
         pointer = read_pointer(written.unwrap().value or None)
         self._keeper.apply_report(report_from_pointer(pointer, sent_at))
@@ -317,10 +317,10 @@
         self, stage: Stage, failure: Failure
     ) -> Result[RollOutcome, Failure]:
         # Guards against "not accepted" for a bundle that comes into force later
-        # (BUN-12). The answer holds whatever becomes of this write: the one that
-        # accepts this stage was never sent, this process won't send it from here on,
-        # and no other process may. A stage whose accepting write was sent is never
-        # abandoned here: its order ends as unknown and is staged anew.
+        # (BUN-12). The answer holds whether or not this write succeeds: the write that
+        # accepts this stage was never sent, this process won't send it any more, and
+        # no other process may. A stage whose accepting write was sent is never
+        # abandoned here: its order ends as unknown and is staged again.
         sent_at = self._timers.now()
         abandoned = await abandon_stage(self._store, stage.seq)
         if abandoned.is_ok():
@@ -338,7 +338,7 @@
 
 
 def _in_progress(vm: str) -> Failure:
-    detail = f"this order is being carried out at {vm}: ask again with it"
+    detail = f"this order is being executed at {vm}: repeat it later"
     return Failure(ErrorKind.ROLL_UNKNOWN, detail, 1.0)
 
 
--- a/hawthornlead/bundles/rolls.py
+++ b/hawthornlead/bundles/rolls.py
@@ -1,8 +1,8 @@
-"""The bundle in force on this VM: which one, how fresh, and may it be served.
+"""The bundle in force on this VM, its freshness and whether it may be served.
 
-A VM serves a bundle only while it can tell that no newer one is in force
-elsewhere. ``BundleKeeper.may_serve`` is asked for each request and reads the clock
-itself, so that a process that was frozen refuses before it has heard anybody::
+A VM serves a bundle only while it can prove that no newer one is in force elsewhere.
+``BundleKeeper.may_serve`` is called for each request and reads the clock itself, so
+that a process that was frozen refuses before it has received any message::
 
     permitted = keeper.may_serve()
     if permitted.is_err():
@@ -41,12 +41,12 @@
 from .bundles import Bundle
 from .roll_orders import RollOrders, RollOutcome, abandon_stage
 
-# How often a VM asks others, as a share of the shorter of its two bounds.
+# Polls of other VMs within the shorter of DOUBT_S and ISOLATION_S.
 POLLS_PER_BOUND = 5
 MAX_PEERS_POLLED = 2
-# So many VMs of a data centre read the pointer for all of it.
+# VMs of a data centre that read the pointer from the store for all others in it.
 READERS_PER_DATA_CENTRE = 2
-# A stage older than so many ACKNOWLEDGE_S is not being worked on any more.
+# A stage older than this many ACKNOWLEDGE_S is no longer being rolled.
 STALE_STAGE_FACTOR = 3
 
 
@@ -59,7 +59,7 @@
 
 
 class BundleKeeper:
-    """Keeps the bundle in force on one VM, and runs rolls for operators."""
+    """Maintains the bundle in force on one VM and runs rolls for operators."""
 
     def __init__(
         self,
@@ -120,13 +120,13 @@
 
     @property
     def staged_seq(self) -> int:
-        """The staged and undecided bundle's sequence number; 0: none."""
+        """The sequence number of the staged, undecided bundle, 0 for none."""
         staged = self._knowledge.staged
         return staged.seq if staged else 0
 
     @property
     def seq_in_force(self) -> int:
-        """The sequence number in force on this VM; 0: none."""
+        """The sequence number in force on this VM, 0 for none."""
         return self._in_force.seq if self._in_force else 0
 
     @property
@@ -135,14 +135,14 @@
         return self._library
 
     def start(self) -> None:
-        """Begin to ask for the pointer, at once and then often."""
+        """Start to poll for the pointer, at once and then periodically."""
         self._subscription = self._timers.every(
             self._poll_interval_s, self._poll, "bundles"
         )
         self._tasks.spawn_once("store", self._read_store)
 
     async def stop(self) -> None:
-        """Ask no more. What is in force stays readable."""
+        """Stop polling. The bundle in force stays readable."""
         if self._subscription is not None:
             self._subscription.cancel()
         await self._tasks.stop()
@@ -150,8 +150,8 @@
     def may_serve(self) -> Result[InForce, Failure]:
         """Return the bundle to serve, or why no request may be served now.
 
-        Every comparison is with the clock at this call, so that a process that was
-        frozen refuses before it has heard anybody.
+        All times are compared with the clock at this call, so that a process that was
+        frozen refuses before it has received any message.
         """
         refusal = self._freshness.refusal(self._timers.now(), self.seq_in_force)
         if refusal is not None:
@@ -159,20 +159,20 @@
         return self._permit
 
     async def roll(self, order: SignedStatement) -> Result[RollOutcome, Failure]:
-        """Roll the bundle that a signed order names, or tell why not."""
+        """Roll the bundle of a signed order, or return why it was not rolled."""
         return await self._orders.roll(order)
 
     async def retire(self, order: SignedStatement) -> Result[None, Failure]:
-        """Bar a bundle from being rolled any more."""
+        """Prevent a bundle from being rolled again."""
         return await self._orders.retire(order)
 
     async def read_pointer(self) -> Result[Pointer, Failure]:
-        """Read the pointer from the store and take in what it says."""
+        """Read the pointer from the store and apply it."""
         read_at = self._timers.now()
-        # Guards against a VM that no roll waits for and that never hears of one
-        # (BUN-7). The incarnation is noted before the read: a VM has joined when it
-        # has read the pointer after it was registered, since a roll that was staged
-        # later than that read finds it registered and waits for its word.
+        # Guards against a VM that no roll waits for and that never learns of one
+        # (BUN-7). The incarnation is taken before the read: a VM has joined once it
+        # has read the pointer after it was registered, because a roll staged after
+        # that read finds it registered and waits for its acknowledgement.
         incarnation = self._leases.incarnation
         registered = self._leases.state in ("held", "lapsed")
         got = await self._store.get(POINTER_KIND, POINTER_NAME)
@@ -187,7 +187,7 @@
         return Ok(pointer)
 
     def apply_report(self, report: BundleReport, source: str = "") -> None:
-        """Take in what a source tells, and put in force what is accepted."""
+        """Merge the report of a source and put an accepted bundle in force."""
         before = self._knowledge.seq
         self._knowledge.merge(report, self._timers.now())
         if self._knowledge.seq > before:
@@ -196,15 +196,15 @@
         self._announce_change()
 
     def cache_bundle(self, bundle: Bundle) -> None:
-        """Keep a verified bundle at hand, so that accepting it takes no time."""
+        """Cache a verified bundle, so that it comes into force without a fetch."""
         self._loaded[bundle.digest] = bundle
 
     def mark_accepting(self, seq: int) -> None:
-        """Note that the write which accepts a stage is about to be sent."""
+        """Record that the write which accepts a stage is about to be sent."""
         self._freshness.mark_accepting(seq, self._timers.now())
 
     def apply_abandoned(self, seq: int) -> None:
-        """Take in that a stage was abandoned."""
+        """Record that a stage was abandoned."""
         self._knowledge.mark_abandoned(seq)
         self._announce_change()
 
@@ -239,7 +239,7 @@
         self._events.emit(EventKind.BUNDLE_IN_FORCE, bundle.digest, seq=seq)
 
     def _announce_change(self) -> None:
-        """Send a heartbeat at once when what it says of bundles has changed."""
+        """Send a heartbeat at once if its bundle sequence numbers have changed."""
         state = (self.seq_in_force, self.staged_seq)
         if state != self._announced_state:
             self._announced_state = state
@@ -268,7 +268,7 @@
             detail=failure.detail,
         )
 
-    # Asking
+    # Polling
 
     def _poll(self) -> None:
         for peer in self._mesh.live:
@@ -290,7 +290,7 @@
         polled = set(self._rng.sample(names, min(MAX_PEERS_POLLED, len(names))))
         staged = self._knowledge.staged
         if staged is not None:
-            # The VM that staged it always knows, the readers nearly so.
+            # The VM that staged it always knows its state, the readers nearly always.
             polled.update(vm for vm in (staged.vm, *self._readers()) if vm in live)
         return polled
 
@@ -320,15 +320,16 @@
         staged = self._knowledge.staged
         if staged is None or self._vm not in self._readers():
             return
-        # The VM that staged it died or gave up without the store. Any VM may
-        # abandon a stage: its acceptance is a conditional update and then fails.
+        # The VM that staged it died or abandoned the roll without reaching the store.
+        # Any VM may abandon a stage, because its acceptance is a conditional update
+        # and then fails.
         sent_at = self._timers.now()
         if sent_at - self._knowledge.staged_at > self._stale_s:
             abandoned = await abandon_stage(self._store, staged.seq)
             if abandoned.is_ok():
                 self.apply_report(report_from_pointer(abandoned.unwrap(), sent_at))
 
-    # Answering
+    # Answering other VMs
 
     async def _on_fetch_pointer(self, sender, message) -> BundlePointer:
         now = self._timers.now()
