--- a/hawthornlead/tests/test_target_searches.py
+++ b/hawthornlead/tests/test_target_searches.py
@@ -1,4 +1,4 @@
-"""Tests of the tries of one request at several targets, without a network."""
+"""Tests of the search of one request for a target, without a network."""
 
 from hawthornlead.errors import ErrorKind, Failure
 from hawthornlead.gateway.target_choices import Candidate, Holding, Scored
@@ -10,14 +10,14 @@
 NO_OWNER = Failure(ErrorKind.NO_GRANT, "not ordered here now", 0.1)
 
 
-class Estimates:
-    """Costs of three engines; counts how often they are asked for."""
+class Scorer:
+    """Scores three engines, and counts its calls."""
 
     def __init__(self):
-        self.asked = 0
+        self.calls = 0
 
     def score(self, excluded):
-        self.asked += 1
+        self.calls += 1
         scored = []
         for cost_ms, target in ((500.0, "a"), (510.0, "b"), (800.0, "c")):
             if target in excluded:
@@ -27,64 +27,64 @@
         return scored
 
 
-def tries_of(estimates, timers):
-    return TargetSearch(excluded=frozenset(), score=estimates.score, timers=timers)
+def search_of(scorer, timers):
+    return TargetSearch(excluded=frozenset(), score=scorer.score, timers=timers)
 
 
-def tried(tries, slack_s):
-    return tries.best(slack_s).candidate.target
+def best_target(search, slack_s):
+    return search.best(slack_s).candidate.target
 
 
 def test_full_engines_are_asked_in_turn_on_one_estimate():
-    """A VM before 70 engines spends its time on estimates while it serves nobody.
+    """A VM with 70 engines spends its time on scores and serves nobody.
 
-    On a busy day a request asks up to twelve full engines within milliseconds, and
-    all engines were estimated anew for each of them.
+    Under load a request tries up to twelve full engines within milliseconds, and all
+    engines were scored again for each of them.
     """
-    estimates, timers = Estimates(), ManualTimerService()
-    tries = tries_of(estimates, timers)
-    assert tried(tries, 0.1) == "a"
-    tries.record_failure("a", FULL)
-    assert tried(tries, 0.1) == "b"
-    tries.record_failure("b", FULL)
-    assert tried(tries, 0.1) == "c"
-    tries.record_failure("c", FULL)
-    assert tries.best(0.1) is None
-    assert tries.full_retry_s == 0.5
-    assert tries.may_continue
-    assert estimates.asked == 1
+    scorer, timers = Scorer(), ManualTimerService()
+    search = search_of(scorer, timers)
+    assert best_target(search, 0.1) == "a"
+    search.record_failure("a", FULL)
+    assert best_target(search, 0.1) == "b"
+    search.record_failure("b", FULL)
+    assert best_target(search, 0.1) == "c"
+    search.record_failure("c", FULL)
+    assert search.best(0.1) is None
+    assert search.full_retry_s == 0.5
+    assert search.may_continue
+    assert scorer.calls == 1
 
 
 def test_a_full_engine_is_waited_for_where_that_is_sooner_than_all_others():
-    tries = tries_of(Estimates(), ManualTimerService())
-    tries.record_failure(tried(tries, 0.5), FULL)
-    tries.record_failure(tried(tries, 0.5), FULL)
+    search = search_of(Scorer(), ManualTimerService())
+    search.record_failure(best_target(search, 0.5), FULL)
+    search.record_failure(best_target(search, 0.5), FULL)
     # 650 ms with its wait, where the last one takes 800 ms.
-    assert tried(tries, 0.5) == "a"
-    assert tries.is_full("a")
+    assert best_target(search, 0.5) == "a"
+    assert search.is_full("a")
 
 
 async def test_an_estimate_that_grew_old_is_made_anew():
-    estimates, timers = Estimates(), ManualTimerService()
-    tries = tries_of(estimates, timers)
-    tries.record_failure(tried(tries, 0.1), FULL)
+    scorer, timers = Scorer(), ManualTimerService()
+    search = search_of(scorer, timers)
+    search.record_failure(best_target(search, 0.1), FULL)
     await timers.advance(0.05)
-    assert tried(tries, 0.1) == "b"
-    assert estimates.asked == 2
+    assert best_target(search, 0.1) == "b"
+    assert scorer.calls == 2
 
 
 def test_an_engine_whose_load_failed_is_left_and_counts_as_a_try():
-    estimates = Estimates()
-    tries = tries_of(estimates, ManualTimerService())
+    scorer = Scorer()
+    search = search_of(scorer, ManualTimerService())
     for target in ("a", "b", "c"):
-        assert tried(tries, 0.1) == target
-        tries.record_failure(target, NO_LOAD)
-    assert tries.count == MAX_LOAD_TRIES + 1
-    assert not tries.may_continue
+        assert best_target(search, 0.1) == target
+        search.record_failure(target, NO_LOAD)
+    assert search.count == MAX_LOAD_TRIES + 1
+    assert not search.may_continue
 
 
 def test_a_vm_that_orders_the_engine_no_more_costs_no_try():
-    tries = tries_of(Estimates(), ManualTimerService())
-    tries.record_failure(tried(tries, 0.1), NO_OWNER)
-    assert tried(tries, 0.1) == "b"
-    assert tries.count == 1
+    search = search_of(Scorer(), ManualTimerService())
+    search.record_failure(best_target(search, 0.1), NO_OWNER)
+    assert best_target(search, 0.1) == "b"
+    assert search.count == 1
