--- a/hawthornlead/mesh/peers.py
+++ b/hawthornlead/mesh/peers.py
@@ -112,10 +112,10 @@
 
     def start(self) -> None:
         """Start sending heartbeats and checking for silent connections."""
-        interval_s = self._settings["HEARTBEAT_S"]
+        check_interval_s = self._settings["HEARTBEAT_S"]
         self._checked_at = self._timers.now()
         self._subscriptions = [
-            self._timers.every(interval_s, self._check, name="heartbeat"),
+            self._timers.every(check_interval_s, self._check, name="heartbeat"),
         ]
 
     async def stop(self, goodbye: bool = False) -> None:
