--- a/hawthornlead/tests/test_stores.py
+++ b/hawthornlead/tests/test_stores.py
@@ -41,8 +41,8 @@
 
 
 async def test_lost_reply_takes_effect_once():
-    # A caller would see a counter raised twice for one change: the write took
-    # effect, its reply was lost, and the writer wrote again.
+    # A counter is raised twice by one change: the write took effect, its reply was
+    # lost, and the writer wrote again.
     store = make_store()
     for lost in (1, 0, 1):
         store.lose_next_reply = lost
@@ -51,9 +51,9 @@
 
 
 async def test_lost_reply_then_others_write():
-    # As above, but other writers changed the object before the first one reads
-    # it back, so that the newest write id is no longer its own. Up to 15 writes
-    # later it still finds its id; later than that it says that it doesn't know.
+    # As above, but other writers change the object before the first one reads it
+    # back, so the newest write id is not its own. After up to 15 other writes it still
+    # finds its id; after more it reports that the write may have taken effect.
     for others, known in ((15, True), (16, False)):
         objects = MemoryObjects()
         store, other = make_store(objects), make_store(objects, name="vm-2", seed=2)
@@ -73,7 +73,7 @@
         assert (await other.get("k", "a")).ok_value.value["n"] == others + 1
 
 
-async def test_outage_tells_what_is_known():
+async def test_outage_reports_whether_a_write_may_have_taken_effect():
     store = make_store()
     store.outage = True
     failure = (await store.update("k", "a", add_one)).err_value
@@ -97,8 +97,8 @@
 
 
 async def test_stale_read_is_read_again():
-    # A read waits in a slow network while a newer one answers; its late answer
-    # would move the reader back to the old value.
+    # A read is delayed in the network while a newer one is answered. Its late answer
+    # would return the old value to the reader.
     store = make_store()
     await store.update("k", "a", add_one)
     old = await store._get("k", "a")
@@ -115,17 +115,17 @@
 
 
 class Follower:
-    """Records what a watch hands out."""
+    """Records the events that a watch reports."""
 
     def __init__(self, store):
         self.seen = []
         self.synced = 0
-        self.watch = store.watch("k", self.take, self.count)
+        self.watch = store.watch("k", self.on_event, self.on_synced)
 
-    def take(self, event):
+    def on_event(self, event):
         self.seen.append((event.type, event.object.name, event.object.value.get("n")))
 
-    def count(self):
+    def on_synced(self):
         self.synced += 1
 
 
@@ -151,7 +151,7 @@
 @pytest.mark.parametrize("forgotten", [False, True])
 async def test_watch_resumes_or_relists(forgotten):
     # The connection of a watch ends; meanwhile one object changes and another is
-    # deleted. Where the store has forgotten the version, only a list tells.
+    # deleted. If the store has discarded its history, only a list shows it.
     timers = ManualTimerService()
     store = make_store(timers=timers)
     gone = (await store.put("k", "gone", {"n": 1}, None)).ok_value
@@ -168,8 +168,8 @@
 
 
 async def test_silent_watch_is_reopened():
-    # Something between store and VM loses track of the open connection: nothing
-    # arrives on it any more, though new connections work.
+    # A device between store and VM drops the state of the open connection: nothing
+    # arrives on it any more, although new connections work.
     timers = ManualTimerService()
     store = make_store(timers=timers)
     follower = await followed(store, timers)
@@ -198,8 +198,8 @@
 
 
 async def test_watch_refuses_older_list():
-    # A list is answered late, from before an object was deleted, and after it an
-    # old event arrives. Neither may bring the object back.
+    # A late list dates from before an object was deleted, and then an old event
+    # arrives. Neither may bring the object back.
     timers = ManualTimerService()
     store = make_store(timers=timers)
     follower = await followed(store, timers)
@@ -297,8 +297,8 @@
 
 @pytest.mark.parametrize("trouble", ["silent", "expire", "outage"])
 async def test_http_watch_recovers(stand_in, http_store, trouble):
-    # The watch's connection goes silent for good, or the store forgets its past,
-    # or is away for a while; what changed meanwhile must be told all the same.
+    # The watch's connection goes silent forever, or the store discards its history,
+    # or is down for a while. Changes made meanwhile must still be reported.
     seen = asyncio.Queue()
     synced = asyncio.Event()
     http_store.watch("k", seen.put_nowait, synced.set)
