--- a/hawthornlead/callers/attempts.py
+++ b/hawthornlead/callers/attempts.py
@@ -31,7 +31,7 @@
 
 
 class Sink(Protocol):
-    """Where an answer goes: the caller's stream, or a buffer for a whole answer."""
+    """The destination of an answer: the caller's stream, or a buffer."""
 
     @property
     def gone(self) -> bool:
@@ -45,7 +45,7 @@
     """The parameters of one attempt.
 
     ``offset`` is the index of the first token wanted, ``deadline_at`` is on the timer
-    service's clock. ``fresh`` asks for a new connection; ``at_most_once`` marks a
+    service's clock. ``fresh`` requires a new connection; ``at_most_once`` marks a
     request that must not be sent twice.
     """
 
--- a/hawthornlead/daemon/daemons.py
+++ b/hawthornlead/daemon/daemons.py
@@ -243,7 +243,7 @@
 
 
 def run_daemon(settings: Settings) -> Result[None, Failure]:
-    """Run the daemon until it is asked to stop, then drain and stop it.
+    """Run the daemon until a signal to stop, then drain and stop it.
 
     Fails at once with ``BAD_SETTINGS`` if a port can't be opened.
     """
--- a/hawthornlead/stores/stores.py
+++ b/hawthornlead/stores/stores.py
@@ -173,7 +173,7 @@
                 return Err(uncertain.failure) if uncertain else got
             current = got.ok_value
             fate = fate_of(uncertain, current) if uncertain else Fate.FAILED
-            if fate is Fate.STANDS:
+            if fate is Fate.TOOK_EFFECT:
                 return Ok(current)
             if fate is Fate.UNKNOWN:
                 return Err(uncertain.failure)
--- a/hawthornlead/stores/write_ids.py
+++ b/hawthornlead/stores/write_ids.py
@@ -27,7 +27,7 @@
 class Fate(Enum):
     """What a later read of the object shows about an uncertain write."""
 
-    STANDS = "took effect"
+    TOOK_EFFECT = "took effect"
     OPEN = "has not taken effect yet"
     FAILED = "can never take effect"
     UNKNOWN = "too many writes came between"
@@ -55,7 +55,7 @@
     remembered = [current.value.get("write_id")]
     remembered += current.value.get("earlier_writes", [])
     if uncertain.write_id in remembered:
-        return Fate.STANDS
+        return Fate.TOOK_EFFECT
     newest = current.value.get("write_number", 0)
     if newest - len(remembered) < uncertain.number <= newest:
         return Fate.FAILED
--- a/hawthornlead/tests/test_stores.py
+++ b/hawthornlead/tests/test_stores.py
@@ -148,8 +148,8 @@
     assert follower.synced == 1
 
 
-@pytest.mark.parametrize("forgotten", [False, True])
-async def test_watch_resumes_or_relists(forgotten):
+@pytest.mark.parametrize("history_discarded", [False, True])
+async def test_watch_resumes_or_relists(history_discarded):
     # The connection of a watch ends; meanwhile one object changes and another is
     # deleted. If the store has discarded its history, only a list shows it.
     timers = ManualTimerService()
@@ -160,11 +160,11 @@
     await timers.advance(0)
     await store.put("k", "new", {"n": 2}, None)
     await store.delete("k", "gone", gone.version)
-    if forgotten:
+    if history_discarded:
         store.objects.forget_history()
     await timers.advance(10)
     assert sorted(follower.seen[1:]) == [("delete", "gone", None), ("put", "new", 2)]
-    assert follower.synced == (2 if forgotten else 1)
+    assert follower.synced == (2 if history_discarded else 1)
 
 
 async def test_silent_watch_is_reopened():
