--- a/hawthornlead/bundles/bundle_pointers.py
+++ b/hawthornlead/bundles/bundle_pointers.py
@@ -1,21 +1,21 @@
-"""The pointer to the bundle in force, and the only ways in which it changes.
+"""The pointer to the bundle in force and the transitions allowed on it.
 
-``bundle/pointer`` is one small object, changed by conditional update only. A stage
-has a sequence number that is never used again, numbers of abandoned stages included.
-It guards against a late word on one stage being taken for one on another (BUN-6),
-which would show as a VM that lost its doubt and serves an old bundle on: a read from
-before the stage has a lower ``last_seq`` and so decides nothing about it.
+``bundle/pointer`` is one small object, changed by conditional update only. The sequence
+number of a stage is never reused, even if the stage is abandoned. This guards against a
+late message about one stage being applied to another (BUN-6): a VM would stop doubting
+and keep serving an old bundle. A read from before the stage has a lower ``last_seq``
+and so decides nothing about it.
 """
 
 from typing import Any, NamedTuple
 
 POINTER_KIND = "bundle"
 POINTER_NAME = "pointer"
-ROLLS_REMEMBERED = 50
+MAX_PAST_ROLLS = 50
 
 
 class Stage(NamedTuple):
-    """A bundle that is staged. Only the process named by it can accept it."""
+    """A staged bundle, which only the process named here can accept."""
 
     seq: int
     digest: str
@@ -26,7 +26,7 @@
 
 
 class PastRoll(NamedTuple):
-    """One order to roll that has ended."""
+    """A finished order to roll."""
 
     seq: int
     digest: str
@@ -37,7 +37,7 @@
 
 
 class Pointer(NamedTuple):
-    """The bundle in force (``seq`` 0: none), the staged one and past rolls.
+    """The bundle in force (``seq`` 0 for none), the staged one and past rolls.
 
     ``last_seq`` is the highest sequence number ever given to a stage.
     """
@@ -53,8 +53,8 @@
         """Every stage up to this one was accepted or abandoned."""
         return self.staged.seq - 1 if self.staged else self.last_seq
 
-    def ended(self, order_id: str) -> PastRoll | None:
-        """Return how an order ended, None when it is not remembered."""
+    def past_roll(self, order_id: str) -> PastRoll | None:
+        """Return the result of an order, None if it is not remembered."""
         for roll in self.past:
             if roll.order_id == order_id:
                 return roll
@@ -68,26 +68,26 @@
 
     def without_stage(self) -> "Pointer":
         """Abandon the staged bundle."""
-        return self._end(accepted=False, waived=())
+        return self._finish_stage(accepted=False, waived=())
 
     def with_accepted(self, waived: tuple[str, ...] = ()) -> "Pointer":
         """Put the staged bundle in force."""
-        ended = self._end(accepted=True, waived=waived)
+        ended = self._finish_stage(accepted=True, waived=waived)
         return ended._replace(seq=self.staged.seq, digest=self.staged.digest)
 
-    def _end(self, accepted: bool, waived: tuple[str, ...]) -> "Pointer":
+    def _finish_stage(self, accepted: bool, waived: tuple[str, ...]) -> "Pointer":
         if self.staged is None:
             return self
         stage = self.staged
         roll = PastRoll(
             stage.seq, stage.digest, stage.order_id, stage.operator, accepted, waived
         )
-        past = (roll, *self.past)[:ROLLS_REMEMBERED]
+        past = (roll, *self.past)[:MAX_PAST_ROLLS]
         return self._replace(staged=None, past=past)
 
 
 def read_pointer(value: dict[str, Any] | None) -> Pointer:
-    """Read the pointer as the store keeps it; None: no bundle was ever staged."""
+    """Parse the stored pointer; None means that no bundle was ever staged."""
     if value is None:
         return Pointer()
     staged = value.get("staged")
