--- a/hawthornlead/tests/fakes_bundles.py
+++ b/hawthornlead/tests/fakes_bundles.py
@@ -1,4 +1,4 @@
-"""Several VMs' bundle keepers in one process, with faults, for tests."""
+"""Bundle keepers of several VMs in one process, with injected faults."""
 
 import asyncio
 import copy
@@ -37,7 +37,7 @@
 
 
 class FakeObjects:
-    """What all VMs' stores share."""
+    """The objects that the stores of all VMs share."""
 
     def __init__(self):
         self.values: dict[tuple[str, str], Stored] = {}
@@ -48,7 +48,7 @@
 
 
 class FakeStore:
-    """One VM's store: ``out`` answers nothing, ``lose_next`` loses replies."""
+    """The store of one VM; ``out`` fails all calls, ``lose_next`` loses replies."""
 
     def __init__(self, objects: FakeObjects, timers):
         self.objects = objects
@@ -59,7 +59,7 @@
         self.before_write = None
 
     async def travel(self):
-        """Let one way take its time."""
+        """Delay a message in one direction."""
         if self.slow_s:
             await self.timers.sleep(self.slow_s)
         await asyncio.sleep(0)
@@ -83,7 +83,7 @@
         return Ok(Listed(copy.deepcopy(items)))
 
     async def put(self, kind, name, value, version):
-        """Write one object if its version fits."""
+        """Write one object if its version matches."""
         await self.travel()
         if self.before_write is not None:
             await self.before_write(kind)
@@ -107,7 +107,7 @@
         return Ok(stored)
 
     async def update(self, kind, name, change):
-        """Read, change and write until no other write came between."""
+        """Read, change and write until no concurrent write interferes."""
         while True:
             got = await self.get(kind, name)
             if got.is_err():
@@ -126,7 +126,7 @@
 
 
 class FakePeer:
-    """Another VM as a mesh shows it."""
+    """Another VM as seen by a mesh."""
 
     def __init__(self, vm, incarnation, data_centre):
         self.vm, self.incarnation, self.data_centre = vm, incarnation, data_centre
@@ -134,7 +134,7 @@
 
 
 class FakeNetwork:
-    """The meshes of one test and what is cut between them."""
+    """The meshes of one test and the partitions between them."""
 
     def __init__(self, timers):
         self.timers = timers
@@ -145,7 +145,7 @@
         self.drops: list[type] = []
 
     def reaches(self, a: str, b: str) -> bool:
-        """Whether two VMs can talk."""
+        """Return whether two VMs can communicate."""
         if b not in self.meshes or self.frozen & {a, b}:
             return False
         return frozenset((a, b)) not in self.cuts
@@ -171,11 +171,11 @@
         )
 
     def on(self, message_type, handler):
-        """Let a handler answer messages of a type."""
+        """Register the handler of a message type."""
         self.handlers[message_type] = handler
 
     async def travel(self):
-        """Let one way take its time."""
+        """Delay a message in one direction."""
         if self.network.slow_s:
             await self.network.timers.sleep(self.network.slow_s)
         await asyncio.sleep(0)
@@ -195,11 +195,11 @@
         return Ok(reply)
 
     def heartbeat_changed(self):
-        """Note what a heartbeat that is sent at once would tell."""
+        """Count the heartbeats sent at once after a change."""
         self.heartbeats += 1
 
     def broadcast(self, message):
-        """Send to all that can be reached, unless this kind is dropped."""
+        """Send to all reachable VMs, unless this message type is dropped."""
         if type(message) in self.network.drops:
             return
         for peer in self.live:
@@ -258,7 +258,7 @@
         self.orders = 0
 
     async def add(self, name, data_centre="santander", incarnation="1") -> Vm:
-        """Register and start a VM, replacing one of its name."""
+        """Register and start a VM, replacing one of the same name."""
         lease = Registration(
             name, "", data_centre, f"{name}:1", f"{name}:2", 1, "live"
         )._asdict()
@@ -274,7 +274,7 @@
         return vm
 
     async def kill(self, name, proved=False) -> None:
-        """End a VM's process without a word."""
+        """Stop a VM's process without any message."""
         vm = self.vms.pop(name)
         del self.network.meshes[name]
         await vm.keeper.stop()
@@ -282,12 +282,12 @@
             self.gone.add((name, vm.incarnation))
 
     async def settle(self) -> None:
-        """Let everything run that needs no time."""
+        """Run all tasks that do not wait for time to pass."""
         for _ in range(60):
             await asyncio.sleep(0)
 
     async def run(self, seconds: float) -> None:
-        """Let time pass in small steps."""
+        """Advance time in small steps."""
         for _ in range(round(seconds / 0.1)):
             await self.timers.advance(0.1)
             await self.settle()
@@ -315,12 +315,12 @@
         )
 
     async def roll(self, at, digest, expected_seq, waived=(), limit_s=30.0):
-        """Roll at a VM and let time pass until it has answered."""
+        """Roll at a VM and advance time until it has answered."""
         order = self.order(digest, expected_seq, waived)
         return await self.finish(self.vms[at].keeper.roll(order), limit_s)
 
     async def finish(self, coroutine, limit_s=30.0):
-        """Let time pass until a coroutine has ended."""
+        """Advance time until a coroutine has finished."""
         task = asyncio.get_running_loop().create_task(coroutine)
         await self.settle()
         while not task.done() and limit_s > 0:
@@ -329,7 +329,7 @@
         return await task
 
     def stale_for(self, name: str) -> float:
-        """Return for how long a newer bundle than the one served is accepted."""
+        """Return how long a bundle newer than the served one has been accepted."""
         served = self.served(name)
         newer = [at for seq, at in self.objects.accepted_at.items() if seq > served]
         if not served or not newer:
@@ -337,7 +337,7 @@
         return self.timers.now() - min(newer)
 
     def served(self, name: str) -> int:
-        """Return the sequence number that a VM serves now; 0: it refuses."""
+        """Return the sequence number that a VM serves now, 0 if it refuses."""
         permitted = self.vms[name].keeper.may_serve()
         return permitted.unwrap().seq if permitted.is_ok() else 0
 
@@ -380,7 +380,7 @@
 
 
 def hold_accepting_write(fleet, vm):
-    """Let a VM's accepting write go unanswered; return where it is kept."""
+    """Hold back a VM's accepting write and return the list that keeps it."""
     store, held = fleet.vms[vm].store, []
 
     async def hold(kind, name, value, version):
@@ -395,5 +395,5 @@
 
 
 def fleet_pointer(fleet):
-    """Return the pointer as the store has it."""
+    """Return the pointer in the store."""
     return read_pointer(fleet.objects.values[("bundle", "pointer")].value)
--- a/hawthornlead/tests/test_bundles.py
+++ b/hawthornlead/tests/test_bundles.py
@@ -51,7 +51,7 @@
     return copy.deepcopy(DOCUMENT)
 
 
-def test_assigns_as_the_document_says(document):
+def test_assignments_match_the_document(document):
     bundle = Bundle.read(document).unwrap()
     caller = bundle.caller_of("secret")
     assert caller.name == "santander"
@@ -75,7 +75,7 @@
         ("GET", "/%6eext", False),
     ],
 )
-def test_a_call_is_repeatable_only_where_the_bundle_says_so(
+def test_call_is_repeatable_only_if_the_bundle_says_so(
     document, method, path, repeatable
 ):
     bundle = Bundle.read(document).unwrap()
@@ -84,7 +84,7 @@
     assert terms.repeatable is repeatable
 
 
-def test_services_not_named_are_refused(document):
+def test_unlisted_services_are_refused(document):
     document["services"].append({"name": "timing", "calls": []})
     bundle = Bundle.read(document).unwrap()
     caller = bundle.caller_of("secret")
@@ -94,7 +94,7 @@
     assert answer.unwrap_err().kind is ErrorKind.NOT_FOUND
 
 
-def test_all_faults_are_told_at_once(document):
+def test_all_faults_are_reported_at_once(document):
     document["adapters"].append(document["adapters"][0])
     caller = document["callers"][0]
     caller["priority"] = True
@@ -121,11 +121,11 @@
 
 
 @pytest.mark.parametrize("value", [None, [], 3, {"callers": 3}, {"adapters": [4]}])
-def test_no_document_at_all_is_a_failure_not_a_crash(value):
+def test_malformed_document_is_a_failure_not_an_exception(value):
     assert Bundle.read(value).unwrap_err().kind is ErrorKind.BAD_BUNDLE
 
 
-def test_order_of_writing_does_not_change_the_digest(document):
+def test_order_of_keys_and_rows_does_not_change_the_digest(document):
     turned = {key: document[key] for key in reversed(document)}
     turned["adapters"] = list(reversed(turned["adapters"]))
     assert Bundle.read(document).unwrap().digest == Bundle.read(turned).unwrap().digest
@@ -149,7 +149,7 @@
     new = prepare(_large("v2")).unwrap()
     assert max(len(chunk.content) for chunk in old.chunks) < 100_000
     altered = {c.digest for c in new.chunks} - {c.digest for c in old.chunks}
-    # The manifest, the adapter's chunk and that of the one caller assigned to it.
+    # The manifest, the chunk of the adapter and the chunk of its only caller.
     assert len(altered) == 3
     few = {c.digest: c for c in new.chunks if c.digest in altered}
     shared = Bundle.assemble(new.chunks[0], few, [old.bundle]).unwrap()
@@ -162,7 +162,7 @@
     ]
 
 
-def test_a_chunk_is_checked_against_its_name():
+def test_chunk_is_checked_against_its_digest():
     chunk = pack(b"[]")
     assert unpack(chunk).unwrap() == b"[]"
     for content in (b"", b"rubbish", chunk.content[:-2], pack(b"[1]").content):
@@ -172,7 +172,7 @@
     assert unpack(bomb).unwrap_err().kind is ErrorKind.BAD_BUNDLE
 
 
-def test_a_malformed_chunk_with_a_right_name_is_a_failure():
+def test_malformed_chunk_with_a_correct_digest_is_a_failure():
     prepared = prepare(DOCUMENT).unwrap()
     rows = pack(b'[{"adapter": 1}]')
     manifest = pack(
@@ -185,7 +185,7 @@
     assert missing.unwrap_err().kind is ErrorKind.BAD_BUNDLE
 
 
-def test_diff_tells_limits_and_services(document):
+def test_diff_shows_limits_and_services(document):
     old = Bundle.read(document).unwrap()
     document["callers"][0]["rate"] = 12
     document["services"][0]["calls"][1]["repeatable"] = True
--- a/hawthornlead/tests/test_roll_doubts.py
+++ b/hawthornlead/tests/test_roll_doubts.py
@@ -1,4 +1,4 @@
-"""Tests of VMs that can't know whether a stage was accepted, and refuse in time."""
+"""Tests of VMs that refuse because they can't know whether a stage was accepted."""
 
 import asyncio
 
@@ -21,14 +21,15 @@
 
 
 @pytest.mark.parametrize("cut_from_peers", [False, True])
-async def test_a_vm_that_missed_the_decision_stops_within_the_doubt(
+async def test_vm_that_missed_the_decision_refuses_within_doubt_s(
     fleet, cut_from_peers
 ):
-    """A VM acknowledges, and is cut off before it hears that it was accepted.
+    """Guard against a VM that serves the old bundle forever.
 
-    It would go on serving the old bundle for ever. In doubt it serves only while
-    the store or a VM says that the stage is not accepted; cut from the store alone
-    it learns of the acceptance from the others, cut from both it refuses.
+    It acknowledges a stage and is cut off before it learns of the acceptance. In
+    doubt it serves only while the store or a VM confirms that the stage is not
+    accepted. Cut off from the store alone it learns of the acceptance from other VMs.
+    Cut off from both it refuses.
     """
     (await fleet.roll("a", fleet.v1, 0)).unwrap()
     await fleet.settle()
@@ -45,11 +46,12 @@
         assert fleet.served("c") == 2
 
 
-async def test_an_outage_at_the_moment_of_acceptance_leaves_all_in_doubt(fleet):
-    """The store goes out for a minute just as the accepting write is sent.
+async def test_outage_during_the_accepting_write_leaves_all_in_doubt(fleet):
+    """Guard against serving while the accepting write may have taken effect.
 
-    The write may have taken effect, so that neither bundle can be served truly:
-    all refuse after DOUBT_S, and serve again when the store has told.
+    The store fails for a minute as the write is sent, so neither bundle is certain
+    to be in force. All VMs refuse after DOUBT_S and serve again once they have read
+    the store.
     """
     (await fleet.roll("a", fleet.v1, 0)).unwrap()
 
@@ -70,11 +72,11 @@
     assert {fleet.served(vm) for vm in "abc"} == {1}
 
 
-async def test_an_outage_before_the_acceptance_is_sent_stops_no_service(fleet):
-    """The store goes out for a minute in a roll, before its acceptance is sent.
+async def test_outage_before_the_accepting_write_does_not_stop_service(fleet):
+    """Guard against refusals when a store outage starts before the accepting write.
 
-    Nothing can be accepted meanwhile, and the VM that staged vouches for that, so
-    that all go on serving the old bundle; the operator is told "not accepted".
+    Nothing can be accepted in that minute, and the VM that staged the bundle confirms
+    it. So all VMs keep serving the old bundle and the operator gets "not accepted".
     """
     (await fleet.roll("a", fleet.v1, 0)).unwrap()
     fleet.network.cuts = {frozenset("ac")}
@@ -88,12 +90,13 @@
     assert {fleet.served(vm) for vm in "abc"} == {1}
 
 
-async def test_the_reply_to_the_accepting_write_is_lost(fleet):
-    """The accepting write takes effect and its reply is lost with the store.
+async def test_lost_reply_to_the_accepting_write_leaves_all_in_doubt(fleet):
+    """Guard against a VM that confirms "not accepted" after its write took effect.
 
-    The VM that rolls can't tell; it must not vouch that the bundle is not accepted,
-    or the others would serve the old one for as long as the outage lasts. When the
-    store is back the same order is answered by what became of it.
+    The reply to the accepting write is lost as the store fails. If the VM that rolls
+    confirmed that the bundle is not accepted, the others would serve the old one
+    throughout the outage. Once the store is back, the repeated order returns the
+    actual result.
     """
     (await fleet.roll("a", fleet.v1, 0)).unwrap()
 
@@ -120,12 +123,12 @@
     assert {fleet.served(vm) for vm in "abc"} == {2}
 
 
-async def test_a_process_frozen_and_woken_refuses_before_it_hears(fleet):
-    """A VM is stopped for a minute and wakes with requests in its sockets.
+async def test_resumed_process_refuses_before_it_receives_a_message(fleet):
+    """Guard against a frozen VM that serves old state when it resumes.
 
-    What it knew is a minute old and its timers have not run yet. The guard reads
-    the clock at the call, and counts from when a question was sent, so that old
-    answers waiting in its sockets make nothing fresh either.
+    After a minute it has requests in its sockets, its state is a minute old and its
+    timers have not run yet. The check reads the clock at the call and counts from
+    when a request was sent, so old answers in its sockets are no proof of freshness.
     """
     (await fleet.roll("a", fleet.v1, 0)).unwrap()
     await fleet.settle()
@@ -136,11 +139,11 @@
     assert fleet.served("c") == 1
 
 
-async def test_a_vm_that_hears_of_a_newer_bundle_refuses_until_it_has_it(fleet):
-    """A VM learns from a peer that a newer bundle is in force, and can't fetch it.
+async def test_vm_refuses_until_a_known_newer_bundle_is_loaded(fleet):
+    """Guard against requests that run on a version no longer assigned.
 
-    Serving the old one knowingly would run requests on a version that is no longer
-    assigned; it refuses "behind" until the content has come and is verified.
+    A VM learns from a peer that a newer bundle is in force and can't fetch it. It
+    refuses as behind until the content is fetched and verified.
     """
     (await fleet.roll("a", fleet.v1, 0)).unwrap()
     await fleet.settle()
@@ -151,12 +154,12 @@
     assert fleet.refusal("b") is ErrorKind.BUNDLE_BEHIND
 
 
-async def test_a_vm_that_starts_during_a_roll_is_in_doubt_of_it(fleet):
-    """A VM registers after the roll has listed the VMs, and reads of the stage.
+async def test_vm_that_starts_during_a_roll_is_in_doubt_of_it(fleet):
+    """Guard against a VM that registers after the roll has listed the VMs.
 
-    Nobody waits for its word. It misses the decision and is cut off: were it in
-    doubt only of what it acknowledged, its callers would get the old bundle for as
-    long as it hears a single VM that knows no better.
+    No roll waits for its acknowledgement. It reads the stage, misses the decision and
+    is cut off. If it were in doubt only of stages it acknowledged, its callers would
+    get the old bundle for as long as it reaches a single VM that is also behind.
     """
     (await fleet.roll("a", fleet.v1, 0)).unwrap()
 
@@ -178,12 +181,12 @@
     assert fleet.refusal("d") is ErrorKind.BUNDLE_UNDECIDED
 
 
-async def test_doubt_of_one_stage_does_not_hide_doubt_of_an_earlier_one(fleet):
-    """A VM misses that bundle 2 was accepted, and is asked to acknowledge stage 3.
+async def test_doubt_of_a_stage_does_not_hide_an_earlier_acceptance(fleet):
+    """Guard against a VM that missed bundle 2 and is asked to acknowledge stage 3.
 
-    What proves that 3 is not accepted yet would make it serve 1 again, in the place
-    of 2. A stage tells what was in force when it was written, so that the VM that
-    acknowledges it follows 2 first.
+    Proof that 3 is not accepted yet would make it serve 1 again in place of 2. A
+    stage carries what was in force when it was written, so the VM that acknowledges
+    it applies 2 first.
     """
     (await fleet.roll("a", fleet.v1, 0)).unwrap()
     v3 = await fleet.release("v3")
@@ -197,11 +200,11 @@
     assert fleet.served("c") == 2
 
 
-async def test_a_read_from_before_the_stage_decides_nothing(fleet):
-    """A read of the pointer is answered after the VM acknowledged a later stage.
+async def test_read_from_before_the_stage_decides_nothing(fleet):
+    """Guard against a read that is answered after a later stage was acknowledged.
 
-    It shows no stage, which looks as if the stage had been abandoned; the VM would
-    lose its doubt and serve the old bundle past the acceptance that it then misses.
+    The read shows no stage, as if the stage had been abandoned. The VM would stop
+    doubting, miss the acceptance and keep serving the old bundle.
     """
     (await fleet.roll("a", fleet.v1, 0)).unwrap()
     await fleet.settle()
@@ -219,12 +222,12 @@
 
 
 @pytest.mark.parametrize("silent_vm", ["", "c"])
-async def test_a_late_accepting_write_does_not_undo_the_answer(fleet, silent_vm):
-    """The accepting write is under way for long, and the order is sent again.
+async def test_late_accepting_write_does_not_contradict_the_answer(fleet, silent_vm):
+    """Guard against a bundle that comes into force after its roll was said to fail.
 
-    The operator is told that the roll failed and goes on from there; then the write
-    lands and the bundle comes into force all the same. Nothing may be concluded
-    before a further write has made the late one impossible.
+    The accepting write is delayed and the order is repeated. If the answer is "not
+    accepted" and the write then takes effect, the operator acted on a wrong result.
+    Nothing may be concluded before another write has made the late one impossible.
     """
     (await fleet.roll("a", fleet.v1, 0)).unwrap()
     held = hold_accepting_write(fleet, "a")
--- a/hawthornlead/tests/test_rolls.py
+++ b/hawthornlead/tests/test_rolls.py
@@ -1,4 +1,4 @@
-"""Tests of rolls over several VMs, and of when a VM may serve."""
+"""Tests of rolls over several VMs and of when a VM may serve."""
 
 import asyncio
 
@@ -28,7 +28,7 @@
         yield fleet
 
 
-async def test_a_roll_is_in_force_everywhere_when_it_answers(fleet):
+async def test_roll_is_in_force_on_all_vms_when_it_answers(fleet):
     assert fleet.refusal("b") is ErrorKind.NO_BUNDLE
     outcome = (await fleet.roll("a", fleet.v1, 0)).unwrap()
     assert outcome.acknowledged == ("a", "b", "c")
@@ -37,7 +37,7 @@
     outcome = (await fleet.roll("c", fleet.v2, 1)).unwrap()
     await fleet.settle()
     assert [fleet.served(vm) for vm in "abc"] == [2, 2, 2]
-    # Roll back: the earlier bundle under a new number.
+    # Roll back to the earlier bundle under a new number.
     assert (await fleet.roll("b", fleet.v1, 2)).unwrap().seq == 3
     await fleet.settle()
     bundle = fleet.vms["c"].keeper.in_force.bundle
@@ -45,12 +45,13 @@
     assert bundle.assign(caller, "brief").unwrap().version == "v1"
 
 
-async def test_two_operators_roll_at_once_from_two_vms(fleet):
-    """Two operators see the same bundle in force and roll at the same moment.
+async def test_concurrent_rolls_from_two_vms_conflict(fleet):
+    """Guard against a roll that silently replaces a concurrent one.
 
-    Both orders name seq 1. One is staged first; without the conditional update on
-    the pointer the slower one would replace what the faster operator was told is in
-    force. The loser is told which bundle won and what differs.
+    Two operators roll at the same time and both orders expect seq 1. Without the
+    conditional update of the pointer the slower roll would replace the bundle that
+    the faster operator was told is in force. The loser's answer names the winning
+    bundle and the differences.
     """
     (await fleet.roll("a", fleet.v1, 0)).unwrap()
     v3 = await fleet.release("v3")
@@ -69,12 +70,12 @@
     assert late.kind is ErrorKind.ROLL_CONFLICT
 
 
-async def test_a_silent_vm_stops_the_roll_and_a_waiver_accepts_without_it(fleet):
-    """A data centre is cut off while an operator rolls.
+async def test_silent_vm_fails_the_roll_unless_it_is_waived(fleet):
+    """Guard against a roll accepted while a data centre is cut off.
 
-    The roll can't know what its VMs go on serving, so it answers "not accepted" and
-    names them; the old bundle stays in force for all. Only a signed waiver goes on
-    without, and the VM that was cut off refuses until it has caught up.
+    The roll can't know what those VMs serve, so it answers "not accepted" and names
+    them, and the old bundle stays in force on all. Only a signed waiver accepts
+    without them. The VM that is cut off refuses until it has caught up.
     """
     (await fleet.roll("a", fleet.v1, 0)).unwrap()
     fleet.network.cuts = {frozenset("ac"), frozenset("bc")}
@@ -83,7 +84,7 @@
     assert failure.kind is ErrorKind.ROLL_NOT_ACCEPTED
     assert "c (bilbao)" in failure.detail
     assert (fleet.served("a"), fleet.served("b")) == (1, 1)
-    # Hearing neither the store nor a VM, it refuses by itself.
+    # The VM refuses by itself, as it reaches neither the store nor another VM.
     assert fleet.refusal("c") is ErrorKind.ISOLATED
     waived = (await fleet.roll("a", fleet.v2, 1, ("bilbao",))).unwrap()
     assert waived.waived == ("c",)
@@ -94,18 +95,18 @@
     assert fleet.served("c") == 3
 
 
-async def test_a_vm_proved_gone_does_not_count(fleet):
+async def test_vm_proved_gone_is_not_waited_for(fleet):
     await fleet.kill("c", proved=True)
     outcome = (await fleet.roll("a", fleet.v1, 0)).unwrap()
     assert (outcome.acknowledged, outcome.gone) == (("a", "b"), ("c",))
 
 
-async def test_a_lease_that_only_ran_out_still_needs_its_word(fleet):
-    """A data centre is cut off long enough that its leases are ended.
+async def test_vm_with_an_expired_lease_must_still_acknowledge(fleet):
+    """Guard against a roll that ignores a VM whose lease was ended for silence.
 
-    Ending a lease for silence proves nothing about what its VM serves: were it not
-    counted any more, a roll would be accepted and callers behind the cut would get
-    the old bundle with nobody told.
+    A data centre is cut off until its leases are ended. This proves nothing about
+    what its VMs serve: a roll accepted without them would leave callers behind the
+    partition with the old bundle, and nobody would notice.
     """
     entry = fleet.objects.values[("leases", "bilbao")].value["entries"]["c.1"]
     entry.update(state="ended", proof="silent")
@@ -116,12 +117,12 @@
     assert (await fleet.roll("a", fleet.v1, 0)).is_ok()
 
 
-async def test_the_vm_that_rolls_dies_after_the_stage(fleet):
-    """The VM that staged a bundle is killed before it decides.
+async def test_stage_of_a_dead_vm_is_replaced(fleet):
+    """Guard against an outage when the VM that staged a bundle dies undecided.
 
-    The others acknowledged and are in doubt; the store tells them that nothing was
-    accepted, so they serve on. Another roll replaces the stage at once, and the
-    dead VM's acceptance, were it still under way, would meet a changed pointer.
+    The other VMs acknowledged and are in doubt. The store shows that nothing was
+    accepted, so they keep serving. Another roll replaces the stage at once, and a
+    late accepting write of the dead VM would meet a changed pointer.
     """
     (await fleet.roll("b", fleet.v1, 0)).unwrap()
     fleet.network.cuts = {frozenset("ac")}
@@ -135,7 +136,7 @@
     assert (await fleet.roll("b", fleet.v2, 1)).unwrap().seq == 3
 
 
-async def test_a_stage_left_behind_is_cleared(fleet):
+async def test_stale_stage_is_abandoned(fleet):
     (await fleet.roll("b", fleet.v1, 0)).unwrap()
     fleet.network.cuts = {frozenset("ac")}
     task = asyncio.create_task(fleet.vms["a"].keeper.roll(fleet.order(fleet.v2, 1)))
@@ -147,11 +148,12 @@
     assert fleet.vms["c"].keeper.staged_seq == 0
 
 
-async def test_a_new_vm_started_during_an_outage(fleet):
-    """A VM starts while the store is out and hears only its peers.
+async def test_vm_started_during_a_store_outage_does_not_serve(fleet):
+    """Guard against a VM that serves without being registered.
 
-    It can't be registered, so no roll would wait for its word: it must not serve,
-    however much its peers tell it. Registered, it serves after one read.
+    It starts during a store outage and reaches only its peers. No roll would wait
+    for its acknowledgement, so it must not serve, whatever its peers report. Once
+    registered, it serves after one read.
     """
     (await fleet.roll("a", fleet.v1, 0)).unwrap()
     for vm in fleet.vms.values():
@@ -166,11 +168,11 @@
     assert fleet.served("d") == 1
 
 
-async def test_late_words_never_bring_back_an_older_bundle(fleet):
-    """Words on an older stage arrive after a newer bundle is in force.
+async def test_late_messages_never_restore_an_older_bundle(fleet):
+    """Guard against late messages about an older stage.
 
-    A message that was delayed, a peer that is behind and a read that was answered
-    late all speak of the past; a sequence number known to be accepted stays so.
+    A delayed message, a peer that is behind or a late read arrives after a newer
+    bundle came into force. A sequence number known to be accepted must stay so.
     """
     (await fleet.roll("a", fleet.v1, 0)).unwrap()
     (await fleet.roll("a", fleet.v2, 1)).unwrap()
@@ -192,7 +194,7 @@
     assert (fleet.served("b"), keeper.staged_seq) == (2, 0)
 
 
-async def test_orders_that_are_not_valid_are_refused(fleet):
+async def test_invalid_orders_are_refused(fleet):
     def roll(statement, key=ANNA):
         return fleet.finish(fleet.vms["a"].keeper.roll(sign(key, statement)))
 
@@ -224,7 +226,7 @@
     assert refused.kind is ErrorKind.BAD_SIGNATURE
 
 
-async def test_an_order_is_carried_out_once(fleet):
+async def test_repeated_order_is_executed_once(fleet):
     order = fleet.order(fleet.v1, 0)
     keeper = fleet.vms["a"].keeper
     first = (await fleet.finish(keeper.roll(order))).unwrap()
@@ -235,12 +237,13 @@
     assert fleet.served("c") == 2
 
 
-async def test_a_new_lease_of_a_living_process_is_no_proof(fleet):
-    """A VM's lease lapses behind a cut and it registers anew as ``c.1+2``.
+async def test_new_lease_of_a_live_process_is_no_proof(fleet):
+    """Guard against proof that is tied to a registration, not to a process.
 
-    Its process runs and serves. Proof is of a process, whatever its registrations
-    are called: taken by their names, a dead VM's second one would block rolls for
-    ever, and the end of its first would count for the living process.
+    A VM's lease lapses behind a partition and it registers again as ``c.1+2`` while
+    its process still serves. With proof per registration, the second one of a dead
+    VM would block rolls forever, and the end of the first one would count as proof
+    for a live process.
     """
     entries = fleet.objects.values[("leases", "bilbao")].value["entries"]
     entries["c.1+2"] = dict(entries["c.1"])
@@ -252,7 +255,7 @@
     assert (await fleet.roll("a", fleet.v1, 0)).unwrap().gone == ("c",)
 
 
-async def test_a_change_of_the_bundle_is_told_at_once(fleet):
+async def test_change_of_the_bundle_is_announced_at_once(fleet):
     mesh = fleet.vms["b"].mesh
     assert mesh.heartbeats == 0
     (await fleet.roll("a", fleet.v1, 0)).unwrap()
@@ -264,12 +267,12 @@
     assert mesh.heartbeats == 4
 
 
-async def test_a_restarted_vm_does_not_vouch_for_its_predecessor(fleet):
-    """A VM dies with its accepting write under way, and is started again.
+async def test_restarted_vm_does_not_confirm_the_stage_of_its_predecessor(fleet):
+    """Guard against a restarted VM that takes its predecessor's stage for its own.
 
-    The new process reads the stage, with its own VM's name on it, and the store
-    goes out. Took it the stage for its own it would say "not accepted" for as long
-    as the outage lasts, and all VMs would serve the old bundle after the write.
+    A VM dies with its accepting write in flight. The new process reads the stage,
+    which carries its VM name, and the store fails. If it confirmed "not accepted"
+    during the outage, all VMs would serve the old bundle after the write.
     """
     (await fleet.roll("a", fleet.v1, 0)).unwrap()
     held = hold_accepting_write(fleet, "a")
--- a/hawthornlead/tests/test_rolls_joined.py
+++ b/hawthornlead/tests/test_rolls_joined.py
@@ -1,4 +1,4 @@
-"""Rolls over the mesh's codec and the store's conditional updates, not fakes."""
+"""Tests of rolls over the real message codec and conditional updates."""
 
 import random
 
@@ -14,7 +14,7 @@
 
 
 class JoinedVm:
-    """One VM on the in-process mesh and the store in memory."""
+    """A VM on the in-process mesh and the in-memory store."""
 
     def __init__(self, fleet, name):
         timers = fleet.timers
@@ -36,7 +36,7 @@
 
 
 class JoinedFleet(Fleet):
-    """VMs whose messages pass the codec and whose writes are stamped."""
+    """VMs that use the message codec and versioned writes."""
 
     def __init__(self):
         self.timers = ManualTimerService()
@@ -55,11 +55,12 @@
         await self.settle()
 
 
-async def test_a_roll_over_mesh_and_store_whose_reply_is_lost():
-    """The accepting write takes effect and its reply is lost once.
+async def test_roll_with_a_lost_reply_of_the_store():
+    """Guard against a wrong answer when the reply to the accepting write is lost.
 
-    The store's client reads its own write back, so that the operator is told what
-    is true; a VM that misses the decision learns of it by asking.
+    The write takes effect. The store's client reads its own write back, so that the
+    operator gets the actual result. A VM that misses the decision learns of it by
+    polling.
     """
     fleet = JoinedFleet()
     for name in ("a", "b", "c"):
