--- a/hawthornlead/bench/bench_counts.py
+++ b/hawthornlead/bench/bench_counts.py
@@ -61,7 +61,7 @@
 
     def _tell(self, vm: int) -> None:
         now = self._queue.now
-        counts = self._waiting[vm].take(self._pace.message_bytes)
+        counts = self._waiting[vm].pop_largest(self._pace.message_bytes)
         if counts:
             self._queue.at(now + self._deployment.latency_s, self._take, vm, counts)
         if now < self._deployment.duration_s:
--- a/hawthornlead/decisions/limits.py
+++ b/hawthornlead/decisions/limits.py
@@ -126,7 +126,7 @@
             state.bucket.refund()
             # Random, so that refused callers don't all retry at once.
             wait_s = OVERLOAD_RETRY_S * self._rng.uniform(0.5, 1.5)
-            detail = f"no room for priority {priority}: {self._open} requests open"
+            detail = f"no capacity for priority {priority}: {self._open} requests open"
             return Err(Failure(ErrorKind.OVERLOADED, detail, wait_s))
         state.open += 1
         self._open += 1
