--- a/hawthornlead/tests/test_gateways.py
+++ b/hawthornlead/tests/test_gateways.py
@@ -255,7 +255,7 @@
 async def test_after_a_restart_of_all_what_engines_hold_is_served_at_once():
     """Every request for an adapter is refused for a second after all VMs restarted.
 
-    The engines still held their adapters, but no owner had claimed or reported them yet.
+    The engines still held their adapters, but no owner had claimed and reported them.
     """
     async with Deployment(vms=1) as deployment:
         assert (await deployment.ask("/stream/x", Model=f"{MODEL}/a1")).status == 200
