--- a/hawthornlead/bundles/roll_orders.py
+++ b/hawthornlead/bundles/roll_orders.py
@@ -343,7 +343,7 @@
 
 
 def _not_accepted(silent: dict[str, str]) -> Failure:
-    detail = "no word from " + "; ".join(silent.values())
+    detail = "no acknowledgement from " + "; ".join(silent.values())
     return Failure(ErrorKind.ROLL_NOT_ACCEPTED, detail)
 
 
