--- a/hawthornlead/operators/queries.py
+++ b/hawthornlead/operators/queries.py
@@ -185,7 +185,7 @@
             if row.section != section:
                 continue
             if name in SECRETS and settings[name]:
-                lines.append(f"# {name.lower()} is set and not shown")
+                lines.append(f"# {name.lower()} is given and not shown")
                 continue
             lines.append(f"{name.lower()} = {settings[name]}".rstrip())
         lines.append("")
