--- a/hawthornlead/bundles/bundle_diffs.py
+++ b/hawthornlead/bundles/bundle_diffs.py
@@ -1,4 +1,4 @@
-"""The difference between two bundles, as operators read it."""
+"""The differences between two bundles as text for operators."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -20,7 +20,7 @@
 def diff(old: Bundle | None, new: Bundle) -> tuple[Change, ...]:
     """Return what changes when ``new`` follows ``old``, sorted by subject.
 
-    Without an ``old`` bundle all of ``new`` is added.
+    Without an ``old`` bundle everything in ``new`` is added.
     """
     changes = list(_adapters(old, new))
     changes += _callers(old, new)
@@ -93,11 +93,11 @@
         old_calls = set(before.get(name, ()))
         new_calls = set(new.services[name])
         for call in sorted(new_calls - old_calls):
-            yield Change("+", f"service {name}: {_call(call)}")
+            yield Change("+", f"service {name}: {_describe_call(call)}")
         for call in sorted(old_calls - new_calls):
-            yield Change("-", f"service {name}: {_call(call)}")
+            yield Change("-", f"service {name}: {_describe_call(call)}")
 
 
-def _call(call) -> str:
-    word = "repeatable" if call.repeatable else "not repeatable"
-    return f"{call.method} {call.path} {word}"
+def _describe_call(call) -> str:
+    repeatability = "repeatable" if call.repeatable else "not repeatable"
+    return f"{call.method} {call.path} {repeatability}"
--- a/hawthornlead/bundles/bundle_libraries.py
+++ b/hawthornlead/bundles/bundle_libraries.py
@@ -1,8 +1,8 @@
-"""Where the chunks and signatures of bundles are kept and fetched from.
+"""Stores, fetches and verifies the chunks and signatures of bundles.
 
-The store keeps each chunk under its digest and each bundle's signatures under the
-bundle's. A VM asks another VM first, so that the store's reads do not grow with the
-fleet. Whatever comes from whomever is checked: chunks against their digest,
+The store keeps each chunk under its digest and the signatures of each bundle under the
+digest of the bundle. A VM asks another VM first, so that store reads do not grow with
+the fleet. All content is verified whatever its source: chunks against their digest,
 signatures against the operators' keys.
 """
 
@@ -29,9 +29,9 @@
 
 CHUNK_KIND = "bundle-chunk"
 RELEASE_KIND = "bundle-release"
-# A release is asked from VMs like a chunk, under this prefix and its digest.
+# A release is requested from VMs like a chunk, under this prefix and its digest.
 RELEASE_PREFIX = "release:"
-FETCHES_AT_ONCE = 8
+MAX_CONCURRENT_FETCHES = 8
 
 
 class Release(NamedTuple):
@@ -50,7 +50,7 @@
 
 
 class BundleLibrary:
-    """The chunks and releases that one VM holds, and how it gets others."""
+    """Holds the chunks and releases of one VM and fetches missing ones."""
 
     def __init__(self, *, settings, store, mesh, keys: OperatorKeys):
         self._data_centre = settings["DATA_CENTRE"]
@@ -60,20 +60,20 @@
         self._keys = keys
         self._chunks: dict[str, BundleChunk] = {}
         self._releases: dict[str, bytes] = {}
-        self._held: dict[str, Bundle] = {}
+        self._bundles: dict[str, Bundle] = {}
         self._fetching: dict[str, asyncio.Task] = {}
-        self._at_once = asyncio.Semaphore(FETCHES_AT_ONCE)
-        mesh.on(FetchChunk, self._answer_chunk)
+        self._fetch_slots = asyncio.Semaphore(MAX_CONCURRENT_FETCHES)
+        mesh.on(FetchChunk, self._on_fetch_chunk)
 
     @property
     def keys(self) -> OperatorKeys:
         """The public keys of the operators."""
         return self._keys
 
-    def helper(self) -> str:
-        """Name the VM of this data centre that fetches for the others.
+    def designated_fetcher(self) -> str:
+        """Return the VM of this data centre that fetches for the others.
 
-        Two VMs that differ about it cost a few reads more, nothing else.
+        If two VMs disagree, this only costs a few more reads.
         """
         names = [self._vm]
         for peer in self._mesh.live:
@@ -86,44 +86,44 @@
     ) -> Result[Released, Failure]:
         """Fetch a bundle and verify its content and both signatures.
 
-        ``sources`` name VMs that are likely to hold it. The store comes last.
+        ``sources`` are VMs likely to hold the bundle. The store is tried last.
         """
-        asked = self._sources(sources)
-        release = await self._load_release(digest, asked)
+        source_vms = self._sources(sources)
+        release = await self._load_release(digest, source_vms)
         if release.is_err():
             return release
-        bundle = self._held.get(digest)
+        bundle = self._bundles.get(digest)
         if bundle is not None:
             return Ok(Released(bundle, release.unwrap()))
-        assembled = await self._load_bundle(digest, asked)
+        assembled = await self._load_bundle(digest, source_vms)
         return assembled.map(lambda found: Released(found, release.unwrap()))
 
-    def keep_only(self, digests: Iterable[str]) -> None:
-        """Forget all bundles but these."""
-        wanted = set(digests)
-        self._held = {d: b for d, b in self._held.items() if d in wanted}
-        self._releases = {d: r for d, r in self._releases.items() if d in wanted}
-        needed = set(self._held)
-        for bundle in self._held.values():
+    def evict_except(self, digests: Iterable[str]) -> None:
+        """Evict all bundles except these."""
+        required = set(digests)
+        self._bundles = {d: b for d, b in self._bundles.items() if d in required}
+        self._releases = {d: r for d, r in self._releases.items() if d in required}
+        needed = set(self._bundles)
+        for bundle in self._bundles.values():
             needed.update(bundle.parts)
         self._chunks = {d: c for d, c in self._chunks.items() if d in needed}
 
     # Orders of operators
 
     async def put_chunk(self, chunk: BundleChunk) -> Result[None, Failure]:
-        """Keep an uploaded chunk in the store."""
+        """Write an uploaded chunk to the store."""
         unpacked = unpack(chunk)
         if unpacked.is_err():
             return unpacked
         value = {"content": base64.b64encode(chunk.content).decode()}
         put = await self._store.put(CHUNK_KIND, chunk.digest, value, None)
-        # A conflict says that the chunk is there: its name is its content.
+        # A conflict means that the same chunk is stored: its name is its content hash.
         if put.is_err() and put.err_value.kind is not ErrorKind.VERSION_CONFLICT:
             return put
         return Ok(None)
 
     async def missing(self, digests: Iterable[str]) -> Result[list[str], Failure]:
-        """Name the chunks that the store does not hold."""
+        """Return the digests of the chunks that the store does not hold."""
         absent = []
         for digest in digests:
             got = await self._store.get(CHUNK_KIND, digest)
@@ -134,7 +134,7 @@
         return Ok(absent)
 
     async def prepare(self, prepared: SignedStatement) -> Result[Bundle, Failure]:
-        """Take in a bundle whose chunks were uploaded, with its signature."""
+        """Store the preparer's signature of a bundle whose chunks were uploaded."""
         digest = prepared.statement.digest
         known = self._keys.verify(prepared, Purpose.PREPARE, digest)
         if known.is_err():
@@ -142,8 +142,8 @@
         loaded = await self._load_bundle(digest, ())
         if loaded.is_err():
             return loaded
-        # In a thread, since it takes a good part of a second at 18,000 adapters
-        # and streams are relayed meanwhile.
+        # In a thread, because it takes a good part of a second with 18,000 adapters
+        # and would delay the streams relayed meanwhile.
         document = loaded.unwrap().document()
         faults = await asyncio.to_thread(check_document, document)
         if faults:
@@ -157,7 +157,7 @@
         return written.map(lambda _: loaded.unwrap())
 
     async def approve(self, approved: SignedStatement) -> Result[None, Failure]:
-        """Take in the approval of a prepared bundle."""
+        """Store the approval of a prepared bundle."""
         digest = approved.statement.digest
         stored = await self._stored_release(digest)
         if stored.is_err():
@@ -166,21 +166,21 @@
         valid = self._keys.verify_release(release.prepared, approved, digest)
         if valid.is_err():
             return valid
-        return await self._add(digest, "approved", approved)
+        return await self._add_signature(digest, "approved", approved)
 
     async def retire(self, retired: SignedStatement) -> Result[None, Failure]:
-        """Take in the order that a bundle must not be rolled any more."""
+        """Store the order that a bundle must not be rolled again."""
         digest = retired.statement.digest
         known = self._keys.verify(retired, Purpose.RETIRE, digest)
         if known.is_err():
             return known
-        return await self._add(digest, "retired", retired)
+        return await self._add_signature(digest, "retired", retired)
 
     async def released_from_store(self, digest: str) -> Result[Released, Failure]:
         """Load a bundle with its signatures as the store has them now.
 
-        A roll is begun on these: a copy on a VM may not know that the bundle was
-        retired.
+        Rolls start from these, as the copy on a VM may lack the mark of a retired
+        bundle.
         """
         stored = await self._stored_release(digest)
         if stored.is_err():
@@ -198,9 +198,9 @@
 
     def _sources(self, sources: Iterable[str]) -> tuple[str, ...]:
         named = list(dict.fromkeys(sources))
-        helper = self.helper()
-        if helper != self._vm:
-            named.insert(0, helper)
+        fetcher = self.designated_fetcher()
+        if fetcher != self._vm:
+            named.insert(0, fetcher)
         return tuple(vm for vm in dict.fromkeys(named) if vm != self._vm)
 
     async def _load_release(
@@ -242,31 +242,33 @@
     async def _load_bundle(
         self, digest: str, sources: tuple[str, ...]
     ) -> Result[Bundle, Failure]:
-        manifest = await self._get(digest, sources)
+        manifest = await self._get_chunk(digest, sources)
         if manifest.is_err():
             return manifest
         read = read_manifest(manifest.unwrap())
         if read.is_err():
             return read
-        earlier = list(self._held.values())
-        wanted = []
+        earlier = list(self._bundles.values())
+        required = []
         for part in read.unwrap().parts.values():
             if not any(bundle.holds_part(part) for bundle in earlier):
-                wanted.append(part)
-        fetched = await asyncio.gather(*(self._get(part, sources) for part in wanted))
+                required.append(part)
+        fetched = await asyncio.gather(
+            *(self._get_chunk(part, sources) for part in required)
+        )
         for outcome in fetched:
             if outcome.is_err():
                 return outcome
         chunks = {outcome.unwrap().digest: outcome.unwrap() for outcome in fetched}
         assembled = Bundle.assemble(manifest.unwrap(), chunks, earlier)
         if assembled.is_ok():
-            self._held[digest] = assembled.unwrap()
+            self._bundles[digest] = assembled.unwrap()
         return assembled
 
-    async def _get(
+    async def _get_chunk(
         self, digest: str, sources: tuple[str, ...]
     ) -> Result[BundleChunk, Failure]:
-        """Return a chunk; several askers at once share one fetch."""
+        """Return a chunk; concurrent requests share one fetch."""
         held = self._chunks.get(digest)
         if held is not None:
             return Ok(held)
@@ -280,7 +282,7 @@
     async def _fetch(
         self, digest: str, sources: tuple[str, ...]
     ) -> Result[BundleChunk, Failure]:
-        async with self._at_once:
+        async with self._fetch_slots:
             for vm in sources:
                 reply = await self._mesh.call(vm, FetchChunk(digest))
                 if reply.is_err() or not isinstance(reply.unwrap(), Chunk):
@@ -296,7 +298,7 @@
         if got.is_err():
             return got
         if got.unwrap() is None:
-            detail = f"nobody holds chunk {digest[:12]}"
+            detail = f"chunk {digest[:12]} not found on any VM or in the store"
             return Err(Failure(ErrorKind.NOT_FOUND, detail))
         content = base64.b64decode(got.unwrap().value["content"])
         chunk = BundleChunk(digest, content)
@@ -306,7 +308,7 @@
         self._chunks[digest] = chunk
         return Ok(chunk)
 
-    async def _answer_chunk(self, sender, message: FetchChunk):
+    async def _on_fetch_chunk(self, sender, message: FetchChunk):
         digest = message.digest
         if digest.startswith(RELEASE_PREFIX):
             content = self._releases.get(digest.removeprefix(RELEASE_PREFIX))
@@ -314,11 +316,16 @@
                 return Chunk(digest, content)
         elif digest in self._chunks:
             return Chunk(digest, self._chunks[digest].content)
-        elif self.helper() == self._vm and sender.data_centre == self._data_centre:
-            got = await self._get(digest, ())
+        elif (
+            self.designated_fetcher() == self._vm
+            and sender.data_centre == self._data_centre
+        ):
+            got = await self._get_chunk(digest, ())
             if got.is_ok():
                 return Chunk(digest, got.unwrap().content)
-        return failed(Failure(ErrorKind.NOT_FOUND, f"{self._vm} lacks {digest[:24]}"))
+        return failed(
+            Failure(ErrorKind.NOT_FOUND, f"{self._vm} does not hold {digest[:24]}")
+        )
 
     # Releases in the store
 
@@ -331,7 +338,7 @@
             return Err(Failure(ErrorKind.NOT_FOUND, detail))
         return _read_release(json.dumps(got.unwrap().value).encode())
 
-    async def _add(
+    async def _add_signature(
         self, digest: str, key: str, signed: SignedStatement
     ) -> Result[None, Failure]:
         absent = False
--- a/hawthornlead/bundles/roll_orders.py
+++ b/hawthornlead/bundles/roll_orders.py
@@ -1,9 +1,9 @@
-"""Rolling a bundle for an operator: stage, gather every VM's word, accept.
+"""Rolls a bundle for an operator: stage, collect acknowledgements, accept.
 
-Each step on the pointer is a conditional update. A roll that can't be accepted
-abandons its stage and tells which VMs gave no word. Only the process that staged a
-bundle accepts it, under the stage's own sequence number, so that a stage that was
-abandoned by another can't come into force any more.
+Each change of the pointer is a conditional update. A roll that can't be accepted
+abandons its stage and reports which VMs did not acknowledge. Only the process that
+staged a bundle accepts it, under the sequence number of the stage, so a stage that
+another process abandoned can't come into force any more.
 """
 
 from typing import NamedTuple
@@ -16,7 +16,7 @@
 from ..messages import BundleDecided
 from ..signatures import Purpose, SignedStatement, Statement
 from .bundle_diffs import diff
-from .bundle_knowledge import told_by_pointer
+from .bundle_knowledge import report_from_pointer
 from .bundle_pointers import (
     POINTER_KIND,
     POINTER_NAME,
@@ -26,16 +26,16 @@
     pointer_document,
     read_pointer,
 )
-from .roll_words import WordGatherer, Words
+from .roll_acknowledgements import AcknowledgementCollector, Acknowledgements
 
-CHANGES_TOLD = 20
+MAX_CHANGES_SHOWN = 20
 
 
 class RollOutcome(NamedTuple):
-    """An accepted roll: its sequence number, who gave their word, who did not.
+    """An accepted roll: its sequence number and the VMs that acknowledged it.
 
-    ``gone`` names VMs that were proved to have stopped, ``waived`` those that the
-    operator's order accepts without.
+    ``gone`` lists VMs proved to have stopped, ``waived`` those whose acknowledgement
+    the operator's order does not require.
     """
 
     seq: int
@@ -46,7 +46,7 @@
 
 
 async def abandon_stage(store, seq: int) -> Result[Pointer, Failure]:
-    """Abandon a stage if it is still the one staged; return the pointer."""
+    """Abandon a stage if it is still staged and return the pointer."""
 
     def change(value):
         pointer = read_pointer(value)
@@ -59,7 +59,7 @@
 
 
 class RollOrders:
-    """Carries out the orders of operators on one VM."""
+    """Executes the orders of operators on one VM."""
 
     def __init__(
         self,
@@ -77,7 +77,7 @@
         self._metrics = core.metrics
         self._store = store
         self._mesh = mesh
-        self._words = WordGatherer(
+        self._collector = AcknowledgementCollector(
             settings=core.settings,
             timers=core.timers,
             store=store,
@@ -89,13 +89,13 @@
         self._running: set[str] = set()
 
     async def roll(self, order: SignedStatement) -> Result[RollOutcome, Failure]:
-        """Carry out one signed order to roll a bundle."""
-        valid = self._valid(order)
+        """Execute a signed order to roll a bundle."""
+        valid = self._verify(order)
         if valid.is_err():
             return valid
         statement = valid.unwrap()
         if statement.order_id in self._running:
-            return Err(_under_way(self._vm))
+            return Err(_in_progress(self._vm))
         self._events.emit(
             EventKind.ROLL_STARTED,
             statement.digest,
@@ -118,7 +118,7 @@
         return outcome
 
     async def retire(self, order: SignedStatement) -> Result[None, Failure]:
-        """Bar a bundle from being rolled; one in force or staged is refused."""
+        """Retire a bundle, unless it is in force or staged."""
         digest = order.statement.digest
         read = await self._keeper.read_pointer()
         if read.is_err():
@@ -131,7 +131,7 @@
             return Err(Failure(ErrorKind.FORBIDDEN, detail))
         return await self._library.retire(order)
 
-    def _valid(self, order: SignedStatement) -> Result[Statement, Failure]:
+    def _verify(self, order: SignedStatement) -> Result[Statement, Failure]:
         purpose = Purpose.ROLL
         if order.statement.purpose == Purpose.WAIVE.value:
             purpose = Purpose.WAIVE
@@ -150,44 +150,44 @@
         loaded = await self._library.released_from_store(statement.digest)
         if loaded.is_err():
             return loaded
-        self._keeper.hold_loaded(loaded.unwrap().bundle)
+        self._keeper.cache_bundle(loaded.unwrap().bundle)
         staged = await self._stage(statement)
         if staged.is_err():
             return staged
         pointer = staged.unwrap()
         stage = pointer.staged
         if stage is None or stage.order_id != statement.order_id:
-            return self._told_before(pointer.ended(statement.order_id))
+            return self._past_outcome(pointer.past_roll(statement.order_id))
         started_at = self._timers.now()
-        words = await self._words.gather(pointer, statement.waived)
-        if words.is_err():
-            return await self._abandon(pointer.staged, words.unwrap_err())
-        if words.unwrap().silent:
-            failure = _not_accepted(words.unwrap().silent)
+        acknowledgements = await self._collector.gather(pointer, statement.waived)
+        if acknowledgements.is_err():
+            return await self._abandon(pointer.staged, acknowledgements.unwrap_err())
+        if acknowledgements.unwrap().silent:
+            failure = _not_accepted(acknowledgements.unwrap().silent)
             return await self._abandon(pointer.staged, failure)
-        outcome = await self._accept(pointer.staged, words.unwrap())
+        outcome = await self._accept(pointer.staged, acknowledgements.unwrap())
         if outcome.is_ok():
             self._metrics.acknowledgement.observe(self._timers.now() - started_at)
         return outcome
 
-    def _told_before(self, ended: PastRoll) -> Result[RollOutcome, Failure]:
-        # The operator sends an order again whose answer was lost: it is answered
-        # by what became of it and not carried out a second time.
+    def _past_outcome(self, ended: PastRoll) -> Result[RollOutcome, Failure]:
+        # An operator repeats an order whose answer was lost. It is answered with its
+        # past result and not executed a second time.
         if ended.accepted:
             return Ok(RollOutcome(ended.seq, ended.digest, (), waived=ended.waived))
-        detail = "this order was carried out before, not accepted, and abandoned"
+        detail = "this order was executed before, not accepted and abandoned"
         return Err(Failure(ErrorKind.ROLL_NOT_ACCEPTED, detail))
 
     # Staging
 
     async def _stage(self, statement: Statement) -> Result[Pointer, Failure]:
-        """Stage the bundle; the pointer returned has the stage or the past roll.
+        """Stage the bundle and return the pointer with the stage or the past roll.
 
-        An order that was sent again may find its own stage, with an accepting write
-        still under way whose reply was lost. It shows as "not accepted" being
-        answered for a bundle that comes into force later (BUN-12). So the stage is
-        never taken up again: it is replaced under a new number, by a conditional
-        write after which the late one meets another version and can't take effect.
+        A repeated order may find its own stage while an accepting write, whose reply
+        was lost, is still in flight. Then "not accepted" could be answered for a
+        bundle that comes into force later (BUN-12). So the stage is never reused: a
+        conditional write replaces it under a new number. The late write then meets
+        another version and can't take effect.
         """
         refusal: Pointer | None = None
 
@@ -196,11 +196,11 @@
             refusal = None
             pointer = read_pointer(value)
             stage = pointer.staged
-            again = stage is not None and stage.order_id == statement.order_id
-            if pointer.ended(statement.order_id) is not None and not again:
+            is_repeat = stage is not None and stage.order_id == statement.order_id
+            if pointer.past_roll(statement.order_id) is not None and not is_repeat:
                 return None
             busy = stage is not None and self._is_alive(stage)
-            if again and stage.vm == self._vm:
+            if is_repeat and stage.vm == self._vm:
                 busy = False
             if pointer.seq != statement.expected_seq or busy:
                 refusal = pointer
@@ -222,17 +222,17 @@
         if refusal is not None:
             stage = refusal.staged
             if stage is not None and stage.order_id == statement.order_id:
-                return Err(_under_way(stage.vm))
+                return Err(_in_progress(stage.vm))
             return await self._conflict(refusal, statement.digest)
         pointer = read_pointer(written.unwrap().value or None)
-        self._keeper.take(told_by_pointer(pointer, sent_at))
+        self._keeper.apply_report(report_from_pointer(pointer, sent_at))
         return Ok(pointer)
 
     def _is_alive(self, stage: Stage) -> bool:
-        """Tell whether the process that staged a bundle may be at work on it.
+        """Return whether the process that staged a bundle may still be rolling it.
 
-        A wrong answer costs one of two rolls, and nothing else: both go on by
-        conditional updates of the one pointer.
+        A wrong answer only makes one of two rolls fail, because both proceed by
+        conditional updates of the same pointer.
         """
         if stage.vm == self._vm:
             same = stage.incarnation == self._mesh.incarnation
@@ -243,63 +243,73 @@
         )
 
     async def _conflict(
-        self, pointer: Pointer, wanted: str
+        self, pointer: Pointer, requested: str
     ) -> Result[Pointer, Failure]:
         if pointer.staged is not None:
             winner, stage = pointer.staged.digest, pointer.staged
-            told = f"is being rolled by {stage.operator} at {stage.vm}"
+            explanation = f"is being rolled by {stage.operator} at {stage.vm}"
         else:
             winner = pointer.digest
-            told = f"is in force as {pointer.seq}, rolled by {_roller_of(pointer)}"
+            explanation = (
+                f"is in force as {pointer.seq}, rolled by {_roller_of(pointer)}"
+            )
         lines = [
-            f"bundle {winner[:12]} {told}" if winner else "no bundle was rolled yet",
-            *await self._differences(winner, wanted),
+            f"bundle {winner[:12]} {explanation}"
+            if winner
+            else "no bundle was rolled yet",
+            *await self._differences(winner, requested),
         ]
         return Err(Failure(ErrorKind.ROLL_CONFLICT, "\n".join(lines)))
 
-    async def _differences(self, winner: str, wanted: str) -> list[str]:
-        if winner == wanted:
-            return ["it is the same bundle"]
-        ours = await self._library.load(wanted)
+    async def _differences(self, winner: str, requested: str) -> list[str]:
+        if winner == requested:
+            return ["the two bundles are the same"]
+        ours = await self._library.load(requested)
         theirs = await self._library.load(winner) if winner else None
         if ours.is_err() or (theirs is not None and theirs.is_err()):
             return []
         old = theirs.unwrap().bundle if theirs is not None else None
         changes = [str(change) for change in diff(old, ours.unwrap().bundle)]
-        lines = ["what yours would change in it:", *changes[:CHANGES_TOLD]]
-        if len(changes) > CHANGES_TOLD:
-            lines.append(f"and {len(changes) - CHANGES_TOLD} more")
+        lines = ["changes your bundle would make to it:", *changes[:MAX_CHANGES_SHOWN]]
+        if len(changes) > MAX_CHANGES_SHOWN:
+            lines.append(f"and {len(changes) - MAX_CHANGES_SHOWN} more")
         return lines
 
     # Deciding
 
-    async def _accept(self, stage: Stage, words: Words) -> Result[RollOutcome, Failure]:
+    async def _accept(
+        self, stage: Stage, acknowledgements: Acknowledgements
+    ) -> Result[RollOutcome, Failure]:
         def change(value):
             pointer = read_pointer(value)
             if pointer.staged is None or pointer.staged.seq != stage.seq:
                 return None
-            return pointer_document(pointer.with_accepted(words.waived))
+            return pointer_document(pointer.with_accepted(acknowledgements.waived))
 
-        # Guards against a VM that goes on serving the old bundle on this VM's word
-        # after the write took effect and its reply was lost (BUN-5). Noted with no
-        # await between this and the sending: no answer of this VM that vouches for
-        # "not accepted" can be later than the write.
-        self._keeper.begin_accepting(stage.seq)
+        # Guards against a VM that keeps serving the old bundle because this VM
+        # confirms it after the write took effect and its reply was lost (BUN-5). There
+        # is no await between this mark and the write, so no answer of this VM that
+        # confirms "not accepted" can be later than the write.
+        self._keeper.mark_accepting(stage.seq)
         sent_at = self._timers.now()
         written = await self._store.update(POINTER_KIND, POINTER_NAME, change)
         if written.is_err():
-            told = "it may be in force: ask again with the same order"
-            return Err(_unknown(written.unwrap_err(), told))
+            explanation = "it may be in force: repeat the same order"
+            return Err(_unknown(written.unwrap_err(), explanation))
         pointer = read_pointer(written.unwrap().value or None)
-        self._keeper.take(told_by_pointer(pointer, sent_at))
-        ended = pointer.ended(stage.order_id)
+        self._keeper.apply_report(report_from_pointer(pointer, sent_at))
+        ended = pointer.past_roll(stage.order_id)
         if ended is None or not ended.accepted:
             refused = await self._conflict(pointer, stage.digest)
             return Err(refused.unwrap_err())
         self._mesh.broadcast(BundleDecided(stage.seq, stage.digest, True))
         return Ok(
             RollOutcome(
-                stage.seq, stage.digest, words.acknowledged, words.gone, words.waived
+                stage.seq,
+                stage.digest,
+                acknowledgements.acknowledged,
+                acknowledgements.gone,
+                acknowledgements.waived,
             )
         )
 
@@ -307,14 +317,14 @@
         self, stage: Stage, failure: Failure
     ) -> Result[RollOutcome, Failure]:
         # Guards against "not accepted" for a bundle that comes into force later
-        # (BUN-12). The answer holds whatever becomes of this write: the one that
-        # accepts this stage was never sent, this process won't send it from here on,
-        # and no other process may. A stage whose accepting write was sent is never
-        # abandoned here: its order ends as unknown and is staged anew.
+        # (BUN-12). The answer holds whether or not this write succeeds: the write that
+        # accepts this stage was never sent, this process won't send it any more, and
+        # no other process may. A stage whose accepting write was sent is never
+        # abandoned here: its order ends as unknown and is staged again.
         sent_at = self._timers.now()
         abandoned = await abandon_stage(self._store, stage.seq)
         if abandoned.is_ok():
-            self._keeper.take(told_by_pointer(abandoned.unwrap(), sent_at))
+            self._keeper.apply_report(report_from_pointer(abandoned.unwrap(), sent_at))
             self._mesh.broadcast(BundleDecided(stage.seq, stage.digest, False))
         detail = f"bundle {stage.digest[:12]} was not accepted: {failure.detail}"
         return Err(Failure(ErrorKind.ROLL_NOT_ACCEPTED, detail, failure.retry_after_s))
@@ -327,18 +337,18 @@
     return "nobody"
 
 
-def _under_way(vm: str) -> Failure:
-    detail = f"this order is being carried out at {vm}: ask again with it"
+def _in_progress(vm: str) -> Failure:
+    detail = f"this order is being executed at {vm}: repeat it later"
     return Failure(ErrorKind.ROLL_UNKNOWN, detail, 1.0)
 
 
 def _not_accepted(silent: dict[str, str]) -> Failure:
-    detail = "no word from " + "; ".join(silent.values())
+    detail = "no acknowledgement from " + "; ".join(silent.values())
     return Failure(ErrorKind.ROLL_NOT_ACCEPTED, detail)
 
 
-def _unknown(failure: Failure, told: str) -> Failure:
+def _unknown(failure: Failure, explanation: str) -> Failure:
     if failure.kind is not ErrorKind.STORE_UNAVAILABLE:
         return failure
-    detail = f"the store did not answer ({failure.detail}); {told}"
+    detail = f"the store did not answer ({failure.detail}); {explanation}"
     return Failure(ErrorKind.ROLL_UNKNOWN, detail, 1.0)
