--- a/hawthornlead/tests/test_fleet_views.py
+++ b/hawthornlead/tests/test_fleet_views.py
@@ -36,10 +36,10 @@
         gateway = deployment.gateways[0]
         address = f"127.0.0.1:{port}"
         gateway._settings["METRICS_ADDRESS"] = address
-        for server in gateway._make_questions():
+        for server in gateway._make_query_servers():
             if server._address == address:
                 server.start()
-                gateway._questions.append(server)
+                gateway._query_servers.append(server)
         run = asyncio.to_thread(CliRunner().invoke, cli, ["fleet", "--vm", address])
         printed = (await run).output
         assert "vm-1" in printed
--- a/hawthornlead/tests/test_whole_unreadable.py
+++ b/hawthornlead/tests/test_whole_unreadable.py
@@ -158,6 +158,6 @@
         deployment.store.write(TARGETS_KIND, "e1", "spoilt again")
         deployment.store.write(TARGETS_KIND, "p1", {"service": 1})
         await deployment.until(lambda: not any(knows(deployment, "p1")))
-        text = deployment.gateways[0]._tell_metrics().body.decode()
+        text = deployment.gateways[0]._read_metrics().body.decode()
         name = "hawthornlead_gateway_unreadable_records_total"
         assert f'{name}{{kind="servers"}} 2.0' in text
--- a/hawthornlead/tests/test_workspaces.py
+++ b/hawthornlead/tests/test_workspaces.py
@@ -233,7 +233,7 @@
                     )
                     answers.append(await asked)
             gateway = deployment.gateways[0]
-            told = [gateway._tell_metrics().body, gateway._fleet_view.body()]
+            told = [gateway._read_metrics().body, gateway._fleet_view.body()]
             targets = deployment.engines + deployment.plains
             seen = [dict(each) for target in targets for each in target.headers]
     finally:
