--- a/hawthornlead/callers/service_calls.py
+++ b/hawthornlead/callers/service_calls.py
@@ -242,9 +242,7 @@
         # An answer that names another attempt belongs to another caller.
         answered_id = head.headers.get(ATTEMPT_HEADER, attempt_id)
         if answered_id != attempt_id:
-            self._events.emit(
-                EventKind.ANSWER_DROPPED, attempt_id, answered_id=answered_id
-            )
+            self._events.emit(EventKind.ANSWER_DROPPED, attempt_id, named=answered_id)
             return Err(Failure(ErrorKind.WRONG_ANSWER, "the answer was crossed"))
         content_type = head.headers.get("Content-Type", "application/octet-stream")
         return Ok(ServiceAnswer(head.status, content_type, body.content, entry.name))
