--- a/hawthornlead/gateway/target_attempts.py
+++ b/hawthornlead/gateway/target_attempts.py
@@ -17,7 +17,8 @@
 
 # No attempt starts with less than this left of the deadline.
 MIN_REMAINING_S = 0.02
-# A streaming target that sends nothing for this long counts a failure.
+# A target whose stream is silent for this long is slow or unreachable: it counts as a
+# failure of the target.
 SILENCE_TIMEOUT_S = 1.2
 
 
